--- /dev/null
+++ b/tests/integration/UpgradeTest.cpp
@@ -0,0 +1,134 @@
+#include "tests/support/Mesh.h"
+
+#include <csignal>
+#include <doctest/doctest.h>
+
+using namespace waxwing;
+using namespace waxwing::testing;
+
+// Nodes are replaced one by one, by a later build if WAXWING_OTHER_BUILD names an earlier one (tools/check-mixed), and
+// otherwise by the same build. Both builds read what the other one stored and sent.
+
+namespace {
+
+constexpr int nodeCount = 3;
+constexpr int serverCount = 6;
+
+/** A fleet whose claims and tickets outlive the processes that made them. */
+class FleetUpgrade
+{
+protected:
+    FleetUpgrade()
+        : fleet_(plan())
+    { }
+
+    static Plan plan()
+    {
+        Plan out;
+        out.upgrade = true;
+        out.serversPerNode = serverCount / nodeCount;
+        return out;
+    }
+
+    void replace(int node)
+    {
+        fleet_.node(node).signal(SIGTERM);
+        REQUIRE(fleet_.node(node).waitForExit() == 0);
+        fleet_.startNode(node);
+        // Its servers moved to the homes of the other nodes when it stopped, and stay there.
+        const auto allServe = [this, node] {
+            return fleet_.read(node, "started").status == 200 && fleet_.inService() == serverCount;
+        };
+        REQUIRE(eventually(allServe, std::chrono::seconds(20)));
+    }
+
+    Fleet fleet_;
+};
+
+class MeshUpgrade
+{
+protected:
+    MeshUpgrade()
+        : mesh_(plan())
+    { }
+
+    static MeshPlan plan()
+    {
+        MeshPlan out;
+        out.upgrade = true;
+        return out;
+    }
+
+    /** A booking and a look-up at every node; each is served and runs once. */
+    void serveAt(const std::string &prefix)
+    {
+        for (int node = 0; node < nodeCount; ++node) {
+            for (const char *path : {"/seats/1", "/dates/1"}) {
+                const std::string id = prefix + std::to_string(node) + path;
+                const auto answer = mesh_.send(node, id, path);
+                REQUIRE(answer);
+                CHECK(answer->status == 200);
+                CHECK(mesh_.executions()[id] == 1);
+            }
+        }
+    }
+
+    Mesh mesh_;
+};
+
+} // namespace
+
+// Guards against a release that can't read the claims, tickets, keys or intents of the one before it: a caller sends
+// its booking again after the upgrade, and it would run a second time or be told "unknown".
+TEST_CASE_FIXTURE(FleetUpgrade, "upgrade, every node of a fleet replaced, keeps claims and tickets and intents")
+{
+    std::vector<std::string> used;
+    std::vector<std::string> unused;
+    for (int node = 0; node < nodeCount; ++node) {
+        used.push_back(fleet_.ticket(node));
+        unused.push_back(fleet_.ticket(node));
+        CHECK(fleet_.book(node, "used-" + std::to_string(node), used.back()).outcome == "ran");
+    }
+    CHECK(fleet_.book(0, "own", "own-key").outcome == "ran");
+    const nlohmann::json configBefore = fleet_.view(0, "/v1/config");
+    for (int node = 0; node < nodeCount; ++node) {
+        replace(node);
+    }
+    for (int node = 0; node < nodeCount; ++node) {
+        const std::string number = std::to_string(node);
+        for (int through = 0; through < nodeCount; ++through) {
+            CHECK(fleet_.book(through, "used-" + number, used[static_cast<std::size_t>(node)]).outcome == "ran");
+            CHECK(fleet_.book(through, "unused-" + number, unused[static_cast<std::size_t>(node)]).outcome == "ran");
+            CHECK(fleet_.book(through, "own", "own-key").outcome == "ran");
+            CHECK(fleet_.read(through, "read-" + number + std::to_string(through)).status == 200);
+        }
+    }
+    for (const auto &[id, count] : fleet_.executions()) {
+        INFO("request " << id);
+        CHECK((count == 1 || id == "started"));
+    }
+    CHECK(eventually([&] { return fleet_.view(nodeCount - 1, "/v1/config") == configBefore; }));
+}
+
+// Guards against a release that can't read the registry entries or the configuration that an earlier one stored, or
+// that does not understand its messages while nodes of both run.
+TEST_CASE_FIXTURE(MeshUpgrade, "upgrade, nodes of a mesh replaced by stops and a kill, serve at every step")
+{
+    serveAt("before-");
+    for (int node = 0; node < nodeCount; ++node) {
+        // A killed node leaves its entry in the store, and its next process finds it there.
+        if (node == nodeCount - 1) {
+            mesh_.node(node).kill();
+        } else {
+            mesh_.node(node).signal(SIGTERM);
+            REQUIRE(mesh_.node(node).waitForExit() == 0);
+        }
+        mesh_.startNode(node);
+        REQUIRE(eventually([this] { return mesh_.settled(); }, std::chrono::seconds(20)));
+        serveAt("after-" + std::to_string(node) + "-");
+    }
+    mesh_.configure(2);
+    for (int node = 0; node < nodeCount; ++node) {
+        CHECK(eventually([&] { return mesh_.linesWith(node, {"event=config_in_force", "version=2"}) == 1; }));
+    }
+}
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -122,9 +122,16 @@
     }
 }
 
+std::string nodeProgram(int node, bool upgrade, int earlierStarts)
+{
+    const char *const otherBuild = std::getenv("WAXWING_OTHER_BUILD");
+    const bool other = upgrade ? earlierStarts == 0 : node % 2 != 0;
+    return otherBuild != nullptr && other ? std::string(otherBuild) + "/waxwingd" : "waxwingd";
+}
+
 Process::Process(const std::string &program, const std::vector<std::string> &arguments, const std::string &log)
     : log_(log)
-    , child_(std::string(BINARY_DIR) + "/" + program, bp::args(arguments),
+    , child_((std::filesystem::path(BINARY_DIR) / program).string(), bp::args(arguments),
              bp::std_in<bp::null, (bp::std_out & bp::std_err)> log)
 { }
 
@@ -251,7 +258,8 @@
 {
     nodes_[index].reset();
     nodes_[index] = std::make_unique<Process>(
-        "waxwingd", std::vector<std::string>{"--settings", settingsFile(index)},
+        nodeProgram(index, plan_.upgrade, starts_[index]++),
+        std::vector<std::string>{"--settings", settingsFile(index)},
         directory_ + "/n" + std::to_string(index) + "-"
             + std::to_string(std::chrono::steady_clock::now().time_since_epoch().count()) + ".log");
 }
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -54,6 +54,13 @@
     boost::process::child child_;
 };
 
+/**
+ * The program that a node's process runs: of this build, or of another one that WAXWING_OTHER_BUILD names by its build
+ * directory. With that variable every second node is of the other build; in an upgrade each node's first process is,
+ * and later ones are of this build.
+ */
+std::string nodeProgram(int node, bool upgrade, int earlierStarts);
+
 /** Room for the bodies that a test hands to together(). */
 constexpr std::size_t mostBodies = 128;
 
@@ -81,6 +88,8 @@
     int regions = 1;
     /** Server s0 is reached through a fault proxy. */
     bool proxyServer = false;
+    /** Nodes begin with the other build; see nodeProgram(). */
+    bool upgrade = false;
 };
 
 /** A fleet of real processes on loopback: object API stand-in, nodes, backend servers and, if wanted, proxies. */
@@ -143,6 +152,7 @@
     Endpoint api_;
     std::unique_ptr<Process> apiProcess_;
     std::map<int, std::unique_ptr<Process>> nodes_;
+    std::map<int, int> starts_;
     std::map<std::string, std::unique_ptr<Process>> servers_;
     std::vector<std::unique_ptr<Process>> proxies_;
     std::vector<Endpoint> proxyEndpoints_;
--- a/tests/support/Mesh.cpp
+++ b/tests/support/Mesh.cpp
@@ -117,8 +117,8 @@
           {"readiness", member.readiness.text()}}},
         {"objectApi", store_.text()},
         {"server", {{"service", plan_.services.at(static_cast<std::size_t>(index))}, {"address", member.app.text()}}},
-        {"bounds",
-         json::array({"grace_s=" + std::to_string(plan_.graceSeconds), "retry_budget_ratio=0.2", "budget_slack=60"})}};
+        {"bounds", json::array({"grace_s=" + std::to_string(plan_.graceSeconds), "retry_budget_ratio=0.2",
+                                "budget_slack=" + std::to_string(plan_.budgetSlack)})}};
     std::string path = directory_ + "/n" + std::to_string(index) + ".json";
     std::ofstream(path) << settings.dump(2);
     return path;
@@ -129,9 +129,10 @@
     Member &member = members_.at(static_cast<std::size_t>(index));
     member.node.reset();
     const std::string settings = settingsFile(index);
+    const std::string program = nodeProgram(index, plan_.upgrade, member.starts);
     member.logs.push_back(directory_ + "/n" + std::to_string(index) + "-" + std::to_string(++member.starts) + ".log");
     member.node =
-        std::make_unique<Process>("waxwingd", std::vector<std::string>{"--settings", settings}, member.logs.back());
+        std::make_unique<Process>(program, std::vector<std::string>{"--settings", settings}, member.logs.back());
 }
 
 void Mesh::startServer(int index)
--- a/tests/support/Mesh.h
+++ b/tests/support/Mesh.h
@@ -19,8 +19,12 @@
     /** The routes' timeout, and the time from SIGTERM to the end. */
     int timeoutMs = 3000;
     int graceSeconds = 5;
+    /** Second sends that the fleet may make beyond its share of the requests. */
+    int budgetSlack = 60;
     /** Routes that no test asks for, to make the configuration large. */
     int spareRoutes = 0;
+    /** Nodes begin with the other build; see nodeProgram(). */
+    bool upgrade = false;
 };
 
 /** Real processes on loopback in the platform's shape: store stand-in, and beside each node its one server. */
