--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -208,7 +208,7 @@
         return parsed;
     });
     memorySlope("server at its home", {54, 108, 216, 378, 540}, [](int size) {
-        const auto detectors = [](EjectionCare care) { return std::make_unique<CusumDetector>(care); };
+        const auto detectors = [](EjectionPolicy policy) { return std::make_unique<CusumDetector>(policy); };
         auto homes = std::make_shared<std::vector<std::unique_ptr<ServiceHome>>>();
         for (int i = 0; i < size; ++i) {
             homes->push_back(std::make_unique<ServiceHome>("s", NodeRef{"n", 1}, HomeTuning(), detectors,
@@ -228,7 +228,7 @@
         for (int i = 0; i < size; ++i) {
             const Ticket ticket{{"n1", 1}, Millis(0), static_cast<std::uint64_t>(i)};
             table->begin(ticket, Millis(1), 1);
-            table->finish(ticket, ClaimEnd{Outcome::Ran, HttpResponse{200, {}, std::string(300, 'a')}});
+            table->finish(ticket, ClaimResult{Outcome::Ran, HttpResponse{200, {}, std::string(300, 'a')}});
         }
         return table;
     });
@@ -337,7 +337,7 @@
 void benchWork()
 {
     timeSlope("home tick", "us a server", {54, 108, 216, 378, 540}, [](int size) {
-        const auto detectors = [](EjectionCare care) { return std::make_unique<CusumDetector>(care); };
+        const auto detectors = [](EjectionPolicy policy) { return std::make_unique<CusumDetector>(policy); };
         std::vector<std::unique_ptr<ServiceHome>> homes;
         const SteadyTime now(std::chrono::hours(1));
         for (int i = 0; i < size; ++i) {
--- a/bench/detectors.cpp
+++ b/bench/detectors.cpp
@@ -31,9 +31,9 @@
 };
 
 const std::vector<Choice> choices = {
-    {"consecutive", [](EjectionCare care) { return std::make_unique<ConsecutiveDetector>(care); }},
-    {"outlier", [](EjectionCare care) { return std::make_unique<OutlierDetector>(care); }},
-    {"cusum", [](EjectionCare care) { return std::make_unique<CusumDetector>(care); }},
+    {"consecutive", [](EjectionPolicy policy) { return std::make_unique<ConsecutiveDetector>(policy); }},
+    {"outlier", [](EjectionPolicy policy) { return std::make_unique<OutlierDetector>(policy); }},
+    {"cusum", [](EjectionPolicy policy) { return std::make_unique<CusumDetector>(policy); }},
 };
 
 const std::vector<Fault> faults = {
@@ -41,7 +41,7 @@
     {"stall 20%", [](FakeServer &s, SteadyTime) { s.stallShare = 0.2; }, false, Millis(0), false},
     {"slow x5", [](FakeServer &s, SteadyTime) { s.slowFactor = 5.0; }, false, Millis(0), false},
     {"errors 30%", [](FakeServer &s, SteadyTime) { s.errorShare = 0.3; }, false, Millis(0), false},
-    {"flapping 2 s", [](FakeServer &s, SteadyTime) { s.flapEvery = seconds(2); }, false, Millis(0), false},
+    {"flapping 2 s", [](FakeServer &s, SteadyTime) { s.flapPeriod = seconds(2); }, false, Millis(0), false},
     {"cold start 5 s",
      [](FakeServer &s, SteadyTime now) {
          ++s.incarnation;
@@ -56,7 +56,7 @@
 constexpr seconds faultAt{20};
 constexpr seconds watched{40};
 
-void compare(EjectionCare care, double rate)
+void compare(EjectionPolicy policy, double rate)
 {
     for (const Fault &fault : faults) {
         for (const Choice &choice : choices) {
@@ -64,14 +64,14 @@
             int missed = 0;
             int wrong = 0;
             for (int run = 0; run < runs; ++run) {
-                RigPlan plan;
-                plan.rate = rate;
-                plan.care = care;
-                plan.detectors = choice.make;
-                plan.seed = static_cast<std::uint64_t>(run) + 1;
-                HomeRig rig(plan);
+                RigOptions options;
+                options.rate = rate;
+                options.policy = policy;
+                options.detectors = choice.make;
+                options.seed = static_cast<std::uint64_t>(run) + 1;
+                HomeRig rig(options);
                 rig.at(faultAt, [&] {
-                    rig.forgetFirstLate();
+                    rig.resetFirstLate();
                     for (const std::string &name : rig.serverNames()) {
                         if (fault.wholeService || name == "s3") {
                             fault.set(rig.server(name), rig.now());
@@ -102,25 +102,25 @@
                            : detection[static_cast<std::size_t>(q * static_cast<double>(detection.size() - 1))];
             };
             std::printf("%-9s %5.0f/s  %-20s %-12s median %6.2f s  worst %6.2f s  missed %2d/%d  false %d\n",
-                        ejectionCareName(care), rate, fault.name, choice.name, quantile(0.5), quantile(1.0), missed,
+                        ejectionPolicyName(policy), rate, fault.name, choice.name, quantile(0.5), quantile(1.0), missed,
                         runs, wrong);
             std::fflush(stdout);
         }
     }
 }
 
-void healthy(EjectionCare care, double rate, std::chrono::hours length)
+void healthy(EjectionPolicy policy, double rate, std::chrono::hours length)
 {
     for (const Choice &choice : choices) {
-        RigPlan plan;
-        plan.rate = rate;
-        plan.care = care;
-        plan.detectors = choice.make;
-        HomeRig rig(plan);
+        RigOptions options;
+        options.rate = rate;
+        options.policy = policy;
+        options.detectors = choice.make;
+        HomeRig rig(options);
         rig.runUntil(length);
-        const double days = static_cast<double>(length.count()) / 24.0 * plan.servers;
+        const double days = static_cast<double>(length.count()) / 24.0 * options.servers;
         std::printf("healthy %-9s %5.0f/s %4ld h  %-12s false ejections %zu  a server and day %.4f  requests %llu\n",
-                    ejectionCareName(care), rate, static_cast<long>(length.count()), choice.name,
+                    ejectionPolicyName(policy), rate, static_cast<long>(length.count()), choice.name,
                     rig.ejections().size(), static_cast<double>(rig.ejections().size()) / days,
                     static_cast<unsigned long long>(rig.started));
         std::fflush(stdout);
@@ -132,14 +132,14 @@
 int main(int argc, char **argv)
 {
     const bool full = argc > 1 && std::strcmp(argv[1], "full") == 0;
-    for (const EjectionCare care : {EjectionCare::Fast, EjectionCare::Careful}) {
+    for (const EjectionPolicy policy : {EjectionPolicy::Fast, EjectionPolicy::Careful}) {
         for (const double rate : {10.0, 300.0}) {
-            compare(care, rate);
+            compare(policy, rate);
         }
     }
-    for (const EjectionCare care : {EjectionCare::Fast, EjectionCare::Careful}) {
-        healthy(care, 10.0, std::chrono::hours(full ? 168 : 24));
-        healthy(care, 300.0, std::chrono::hours(full ? 24 : 1));
+    for (const EjectionPolicy policy : {EjectionPolicy::Fast, EjectionPolicy::Careful}) {
+        healthy(policy, 10.0, std::chrono::hours(full ? 168 : 24));
+        healthy(policy, 300.0, std::chrono::hours(full ? 24 : 1));
     }
     return 0;
 }
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -33,7 +33,7 @@
 Totals totals(Fleet &fleet)
 {
     Totals sum;
-    for (int i = 0; i < fleet.plan().nodes; ++i) {
+    for (int i = 0; i < fleet.options().nodes; ++i) {
         const json status = fleet.view(i, "/v1/status");
         sum.processor += status.value("processorSeconds", 0.0);
         sum.sent += status.value("linkBytesSent", 0.0);
@@ -58,22 +58,22 @@
 /** Open-loop load on three nodes and twelve servers, straight and through the fleet. */
 void measureLoad(int nodes, const std::vector<std::string> &rates, bool ticket)
 {
-    Plan plan;
-    plan.nodes = nodes;
-    plan.serversPerNode = 12 / nodes;
-    plan.slots = 64;
-    plan.workMs = 2;
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.nodes = nodes;
+    options.serversPerNode = 12 / nodes;
+    options.slots = 64;
+    options.workMs = 2;
+    Fleet fleet(options);
     pause(Millis(1000));
     std::vector<std::string> callers;
     std::vector<std::string> operators;
     std::vector<std::string> servers;
-    for (int i = 0; i < plan.nodes; ++i) {
+    for (int i = 0; i < options.nodes; ++i) {
         callers.push_back(fleet.callers(i).text());
         operators.push_back(fleet.operators(i).text());
     }
     for (const std::string &name : fleet.serverNames()) {
-        servers.push_back("127.0.0.1:" + std::to_string(fleet.server(name).printed("port")));
+        servers.push_back("127.0.0.1:" + std::to_string(fleet.server(name).waitForPrintedNumber("port")));
     }
     for (const std::string &rate : rates) {
         std::vector<std::string> arguments = {
@@ -116,7 +116,7 @@
                     ticket = fleet.ticket(node);
                 }
                 const std::string id = std::to_string(client) + "-" + std::to_string(i);
-                const Answer answer = fleet.book(node, id, ticket);
+                const CallResult answer = fleet.book(node, id, ticket);
                 auto &counts = buckets[began / bucket];
                 ++counts.first;
                 counts.second += answer.outcome == "ran" ? 0 : 1;
@@ -131,7 +131,7 @@
         pause(killAfter);
         fleet.node(1).kill();
     });
-    together(bodies);
+    runConcurrently(bodies);
     for (const auto &[slice, counts] : buckets) {
         if (counts.second > 0) {
             std::printf("at %+5ld ms: %d of %d not served\n", slice * bucket.count() - killAfter.count(), counts.second,
@@ -145,11 +145,11 @@
 
 void measure(int nodes, int serversPerNode)
 {
-    Plan plan;
-    plan.nodes = nodes;
-    plan.serversPerNode = serversPerNode;
-    plan.floor = "1 servers";
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.nodes = nodes;
+    options.serversPerNode = serversPerNode;
+    options.floor = "1 servers";
+    Fleet fleet(options);
     pause(Millis(3000));
     const Totals before = totals(fleet);
     pause(observed);
--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -23,24 +23,24 @@
     return values[static_cast<std::size_t>(0.99 * static_cast<double>(values.size() - 1))];
 }
 
-RigPlan overloadPlan(double times, bool limits)
+RigOptions overloadOptions(double times, bool limits)
 {
-    RigPlan plan;
-    plan.servers = 4;
-    plan.work = Millis(50);
-    plan.responseTime = Millis(600);
-    plan.deadline = Millis(600);
-    plan.floor = CapacityFloor{4, 0.0};
+    RigOptions options;
+    options.servers = 4;
+    options.work = Millis(50);
+    options.responseTime = Millis(600);
+    options.deadline = Millis(600);
+    options.floor = CapacityFloor{4, 0.0};
     // 12 slots at a mean of 60 ms a request.
-    plan.rate = 200.0 * times;
-    plan.refuseEarly = limits;
-    plan.queuePerClass = limits ? 64 : 1000000;
-    return plan;
+    options.rate = 200.0 * times;
+    options.refuseEarly = limits;
+    options.queuePerClass = limits ? 64 : 1000000;
+    return options;
 }
 
 void goodput(double times, bool limits)
 {
-    HomeRig rig(overloadPlan(times, limits));
+    HomeRig rig(overloadOptions(times, limits));
     rig.runUntil(length);
     const double seconds = std::chrono::duration<double>(length).count();
     std::printf("load %.1fx  %-22s good %6.1f/s  late or timed out %6.1f/s  refused at once %6.1f/s  p99 %6.1f ms\n",
@@ -51,17 +51,17 @@
 
 void besideSlowClass(double share, double slowShare)
 {
-    RigPlan plan;
-    plan.servers = 4;
-    plan.work = Millis(20);
-    plan.otherWork = Millis(1500);
-    plan.responseTime = Millis(300);
-    plan.deadline = Millis(4000);
-    plan.floor = CapacityFloor{4, 0.0};
-    plan.rate = 100.0;
-    plan.idempotentShare = 1.0 - slowShare;
-    plan.slowClassShare = share;
-    HomeRig rig(plan);
+    RigOptions options;
+    options.servers = 4;
+    options.work = Millis(20);
+    options.otherWork = Millis(1500);
+    options.responseTime = Millis(300);
+    options.deadline = Millis(4000);
+    options.floor = CapacityFloor{4, 0.0};
+    options.rate = 100.0;
+    options.idempotentShare = 1.0 - slowShare;
+    options.slowClassShare = share;
+    HomeRig rig(options);
     rig.runUntil(length);
     std::printf("slow class %2.0f%% of requests  share of slots %3.0f%%  fast class: answered %6.1f/s  p99 %7.1f ms\n",
                 slowShare * 100, share * 100, static_cast<double>(rig.readMs.size()) / 120.0, p99(rig.readMs));
--- a/include/base/EventLog.h
+++ b/include/base/EventLog.h
@@ -57,7 +57,7 @@
     /** Hands buffered lines over and says how many were left out. Call about five times a second. */
     void flush();
     /** Events in which some field's value equals @p subject, oldest first. */
-    std::vector<Event> about(const std::string &subject) const;
+    std::vector<Event> matching(const std::string &subject) const;
     /** The newest @p count events, oldest first. */
     std::vector<Event> newest(std::size_t count) const;
 
@@ -67,11 +67,11 @@
     std::deque<Event> events_;
     TokenBucket requestLines_;
     double failureReserve_;
-    std::uint64_t requestLinesLeftOut_ = 0;
-    std::uint64_t pipeLinesLeftOut_ = 0;
+    std::uint64_t droppedRequestLines_ = 0;
+    std::uint64_t reportedDroppedLines_ = 0;
 };
 
-/** Sends log lines to standard output through a LinePipe. Call once, before the first event. */
+/** Sends log lines to standard output through a LineWriter. Call once, before the first event. */
 void setUpLogging();
 /** Hands over what the log still holds, for the end of the process. */
 void flushLogging();
--- a/include/base/Ids.h
+++ b/include/base/Ids.h
@@ -22,6 +22,6 @@
 /** @p value as lower-case hexadecimal without leading zeros. Thread safe. */
 std::string hexText(std::uint64_t value);
 /** True if @p text is 1 to 63 characters of a-z, A-Z, 0-9, '-', '_' and '.', so that it is safe in paths and logs. */
-bool isName(const std::string &text);
+bool isValidName(const std::string &text);
 
 } // namespace waxwing
--- a/include/base/JsonReader.h
+++ b/include/base/JsonReader.h
@@ -25,11 +25,11 @@
     /** Each of these returns @p fallback, and adds a finding, when the field is there but wrong. */
     std::string text(const std::string &key, const std::string &fallback);
     std::string requiredText(const std::string &key);
-    bool flag(const std::string &key, bool fallback);
-    std::int64_t integer(const std::string &key, std::int64_t fallback, std::int64_t least, std::int64_t most);
-    Millis duration(const std::string &key, Millis fallback, Millis least, Millis most);
+    bool boolean(const std::string &key, bool fallback);
+    std::int64_t integer(const std::string &key, std::int64_t fallback, std::int64_t min, std::int64_t max);
+    Millis duration(const std::string &key, Millis fallback, Millis min, Millis max);
     /** A share such as "99.9%" as a fraction of one. */
-    double share(const std::string &key, double fallback);
+    double percentage(const std::string &key, double fallback);
     /** The nested value, or null; counts as read. */
     const nlohmann::json &child(const std::string &key);
     /** JSON pointer of the field @p key. */
@@ -49,6 +49,6 @@
 /** Parses JSON with comments; a syntax error becomes a finding at line:column of @p source. */
 nlohmann::json parseJsonWithComments(const std::string &text, const std::string &source, Findings &findings);
 /** Reads "99.9%" as 0.999. Errors: Malformed unless between 0% and 100%. Thread safe. */
-Expected<double> parseShare(const std::string &text);
+Expected<double> parsePercentage(const std::string &text);
 
 } // namespace waxwing
--- a/include/claim/ClaimTable.h
+++ b/include/claim/ClaimTable.h
@@ -16,13 +16,13 @@
 /** Bounds of a claim table. */
 struct ClaimLimits {
     std::size_t entries = 60000;
-    std::size_t answerBytes = 32UL * 1024 * 1024;
+    std::size_t responseBytes = 32UL * 1024 * 1024;
     /** A ticket may be used this long after it was minted; its claim is kept as long. */
     Millis validity = std::chrono::minutes(20);
 };
 
 /** What the owner does with a request that carries one of its tickets. */
-enum class ClaimVerdict {
+enum class ClaimDecision {
     /** First attempt: run it. */
     Start,
     /** An attempt is running: wait for its end. */
@@ -30,9 +30,9 @@
     /** It ended: repeat its answer. */
     Replay,
     /** It ran, but its answer was too large to keep. */
-    AnswerNotKept,
+    ResponseNotStored,
     /** It may have run and no answer will come. */
-    InDoubt,
+    OutcomeUnknown,
     /** The same ticket came with another request. */
     OtherRequest,
     /** The ticket is past its validity: whether it ran is no longer known. */
@@ -45,10 +45,10 @@
     NotOwner,
 };
 
-const char *claimVerdictName(ClaimVerdict verdict);
+const char *claimDecisionName(ClaimDecision decision);
 
 /** The end of a claimed request. */
-struct ClaimEnd {
+struct ClaimResult {
     Outcome outcome = Outcome::Unknown;
     HttpResponse response;
 };
@@ -57,7 +57,7 @@
  * Cuts a handover into messages of about @p bytes each. Only the last names the owners, so a successor that got some
  * parts and not all decides about none of their tickets. Thread safe.
  */
-std::vector<ClaimHandover> partsOf(const ClaimHandover &whole, std::size_t bytes);
+std::vector<ClaimHandover> splitHandover(const ClaimHandover &whole, std::size_t bytes);
 
 /**
  * The record of which tickets of one owner were used, and how they ended.
@@ -73,12 +73,13 @@
     /** @pre @p clock outlives the table. */
     ClaimTable(NodeRef self, const Clock &clock, ClaimLimits limits = {});
 
-    /** Decides about a request with @p ticket; on Start the claim is held from now on. @p ownAge: TicketMint::age(). */
-    ClaimVerdict begin(const Ticket &ticket, Millis ownAge, std::uint64_t requestDigest);
+    /** Decides about a request with @p ticket; on Start the claim is held from now on. @p ownAge: TicketIssuer::age().
+     */
+    ClaimDecision begin(const Ticket &ticket, Millis ownAge, std::uint64_t requestDigest);
     /** Ends a claim. NotRun frees the ticket for another attempt. @pre begin() said Start. */
-    void finish(const Ticket &ticket, ClaimEnd end);
+    void finish(const Ticket &ticket, ClaimResult end);
     /** The end of a claim; null if it is running or not known. */
-    const ClaimEnd *endOf(const Ticket &ticket) const;
+    const ClaimResult *resultOf(const Ticket &ticket) const;
 
     /** Refuses new claims from now on. */
     void stopClaiming();
@@ -107,24 +108,24 @@
     struct Entry {
         std::uint64_t digest = 0;
         bool running = true;
-        bool answerKept = true;
-        ClaimEnd end;
-        SteadyTime dropAt;
+        bool responseStored = true;
+        ClaimResult end;
+        SteadyTime expiresAt;
     };
 
     /** Age of an owner whose tickets are decided here; nothing if they are not. */
     std::optional<Millis> ageOf(const NodeRef &owner, Millis ownAge) const;
-    ClaimVerdict verdictOf(const Entry &entry, std::uint64_t digest) const;
-    void store(Entry &entry, ClaimEnd end);
+    ClaimDecision decisionFor(const Entry &entry, std::uint64_t digest) const;
+    void store(Entry &entry, ClaimResult end);
 
     NodeRef self_;
     const Clock &clock_;
     ClaimLimits limits_;
     std::unordered_map<std::string, Entry> entries_;
-    std::multimap<SteadyTime, std::string> dropOrder_;
+    std::multimap<SteadyTime, std::string> expiryQueue_;
     std::map<NodeRef, Adopted> adopted_;
     std::size_t running_ = 0;
-    std::size_t answerBytes_ = 0;
+    std::size_t responseBytes_ = 0;
     bool stopping_ = false;
 };
 
--- a/include/claim/Ticket.h
+++ b/include/claim/Ticket.h
@@ -16,7 +16,7 @@
 struct Ticket {
     NodeRef owner;
     /** Owner's monotonic time since its start; other nodes don't interpret it. */
-    Millis mintedAt{0};
+    Millis issuedAt{0};
     std::uint64_t sequence = 0;
 
     /** "wx1.ID.INCARNATION.MINTED.SEQUENCE", numbers in hexadecimal. Thread safe. */
@@ -28,12 +28,12 @@
 };
 
 /** Mints the tickets of one incarnation. Not thread safe. */
-class TicketMint
+class TicketIssuer
 {
 public:
     /** @pre @p clock outlives the mint. */
-    TicketMint(NodeRef self, const Clock &clock);
-    Ticket mint();
+    TicketIssuer(NodeRef self, const Clock &clock);
+    Ticket issue();
     /** Time since this incarnation started, as written into tickets. */
     Millis age() const;
 
--- a/include/fleet/FleetConfig.h
+++ b/include/fleet/FleetConfig.h
@@ -12,7 +12,7 @@
 namespace waxwing {
 
 /** One of the services among which a route divides its requests. */
-struct RoutePart {
+struct WeightedService {
     std::string service;
     /** Relative to the other parts of the route. */
     std::uint32_t weight = 1;
@@ -31,18 +31,18 @@
     /** The longest that a request is kept waiting. */
     Millis timeout{5000};
     /** Servers to which one request may be sent, one after the other. */
-    int mostServers = 1;
+    int maxAttempts = 1;
     /** 0 is the most urgent. */
     int priority = 0;
-    std::vector<RoutePart> parts;
+    std::vector<WeightedService> services;
 };
 
 /** Bounds on what a caller may send and how long it may take. */
 struct CallerLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 1024UL * 1024;
-    Millis header = std::chrono::seconds(3);
-    Millis idle = std::chrono::seconds(15);
+    Millis headerTimeout = std::chrono::seconds(3);
+    Millis idleTimeout = std::chrono::seconds(15);
 };
 
 /** One version of the configuration of the whole fleet. Immutable once built; a value. */
@@ -66,8 +66,8 @@
     std::size_t routeCount() const;
 
 private:
-    std::unordered_map<std::string, std::unordered_map<std::string, Route>> hosts_;
-    std::size_t routes_ = 0;
+    std::unordered_map<std::string, std::unordered_map<std::string, Route>> routesByHost_;
+    std::size_t routeCount_ = 0;
 };
 
 } // namespace waxwing
--- a/include/fleet/Freshness.h
+++ b/include/fleet/Freshness.h
@@ -9,11 +9,11 @@
 /** How old knowledge may be. */
 struct FreshnessTuning {
     /** A node begins to take callers with knowledge of this age at most: well within the time a change has. */
-    Millis mostAgeToStart{1500};
+    Millis maxAgeToStart{1500};
     /** It goes on to take them up to this age, which leaves room for asking more than once. */
-    Millis mostAge{4000};
+    Millis maxAge{4000};
     /** A failed attempt to ask shows for this long that there is no way to know better. */
-    Millis failureCounts{4000};
+    Millis failureValidFor{4000};
 };
 
 /**
@@ -25,10 +25,11 @@
 {
 public:
     explicit Freshness(FreshnessTuning tuning = {});
-    /** Nothing newer existed at @p asOf; for a call, when it was sent, since its answer may be read much later. */
-    void confirm(SteadyTime asOf);
+    /** Nothing newer existed at @p confirmedAt; for a call, when it was sent, since its answer may be read much later.
+     */
+    void confirm(SteadyTime confirmedAt);
     /** An attempt to ask that began at @p began ended at @p ended without an answer. */
-    void fail(SteadyTime began, SteadyTime ended);
+    void noteFailure(SteadyTime began, SteadyTime ended);
     /** Nothing if it was never confirmed. */
     std::optional<Duration> age(SteadyTime now) const;
     /** True if it was never confirmed, or is older than @p limit. */
@@ -43,9 +44,9 @@
 
 private:
     FreshnessTuning tuning_;
-    std::optional<SteadyTime> asOf_;
-    std::optional<SteadyTime> failureBegan_;
-    SteadyTime failureEnded_;
+    std::optional<SteadyTime> confirmedAt_;
+    std::optional<SteadyTime> failureStartedAt_;
+    SteadyTime failureEndedAt_;
 };
 
 } // namespace waxwing
--- a/include/fleet/PartPicker.h
+++ b/include/fleet/PartPicker.h
@@ -12,7 +12,7 @@
  * is more than one request away from its share, which a random draw would need thousands of requests for.
  * Not thread safe.
  */
-class PartPicker
+class WeightedRoundRobin
 {
 public:
     /** The service for the next request of @p route. @pre it has a part. */
--- a/include/fleet/TransitMeter.h
+++ b/include/fleet/TransitMeter.h
@@ -10,16 +10,16 @@
  * old the link's Hello is to them; the difference is the time under way of Hello and message together. The shortest one
  * seen is the link's own delay, and what exceeds it is lateness. Not thread safe.
  */
-class TransitMeter
+class LinkDelayEstimator
 {
 public:
     /** @p ageHere and @p ageThere: of the Hello, here now and at the sender when it sent. Never negative. */
-    Millis lateness(Duration ageHere, Duration ageThere);
+    Millis excessDelay(Duration ageHere, Duration ageThere);
 
 private:
     /** A Hello that was itself late must not pass as the link's own delay; the longest round trip in use is far less.
      */
-    Duration shortest_ = std::chrono::milliseconds(500);
+    Duration baseDelay_ = std::chrono::milliseconds(500);
 };
 
 } // namespace waxwing
--- a/include/fleet/WatchElection.h
+++ b/include/fleet/WatchElection.h
@@ -29,7 +29,7 @@
     /** A stand-in goes on for this long, so that slow answers don't make it change its role all the time. */
     Millis standInFor{3000};
     /** Others take the place of a watcher that the store does not answer, until it does or for this long. */
-    Millis passedOverFor = std::chrono::seconds(20);
+    Millis excludedFor = std::chrono::seconds(20);
 };
 
 /**
@@ -45,20 +45,20 @@
     /** The other nodes of the region to which a link is open. */
     void setReachable(const std::vector<std::string> &nodes, SteadyTime now);
     /** @p node says whether the store @p answers it; if not, it can't watch for others. */
-    void noteStore(const std::string &node, bool answers, SteadyTime now);
+    void noteStoreReachable(const std::string &node, bool answers, SteadyTime now);
     /** This node's role; @p age is that of what it holds, nothing if that was never confirmed. */
     WatchRole role(std::optional<Duration> age, SteadyTime now);
     /** The nodes that watch, this one aside, the first one first. */
-    const std::vector<std::string> &others() const;
+    const std::vector<std::string> &otherWatchers() const;
 
 private:
     std::string self_;
     WatchElectionTuning tuning_;
-    std::vector<std::string> others_;
-    std::map<std::string, SteadyTime> passedOverUntil_;
+    std::vector<std::string> otherWatchers_;
+    std::map<std::string, SteadyTime> excludedUntil_;
     bool elected_ = true;
     /** Only since others were passed over. */
-    bool replaces_ = false;
+    bool isReplacement_ = false;
     SteadyTime standInUntil_;
 };
 
--- a/include/floor/HomeFloor.h
+++ b/include/floor/HomeFloor.h
@@ -21,7 +21,7 @@
 };
 
 /** The object in the platform's store that holds every home's pledge for one service. */
-struct PledgeSheet {
+struct PledgeTable {
     /** Version of the object; 0: it does not exist. */
     std::uint64_t version = 0;
     std::vector<Pledge> pledges;
@@ -32,11 +32,11 @@
     void erase(const NodeRef &home);
     std::string json() const;
     /** Errors: Malformed. Thread safe. */
-    static Expected<PledgeSheet> parse(std::uint64_t version, const std::string &json);
+    static Expected<PledgeTable> parse(std::uint64_t version, const std::string &json);
 };
 
-/** Servers that must stay in service, by @p floor and the capacity in @p sheet. Thread safe. */
-std::uint32_t requiredServers(const CapacityFloor &floor, const PledgeSheet &sheet);
+/** Servers that must stay in service, by @p floor and the capacity in @p table. Thread safe. */
+std::uint32_t requiredServers(const CapacityFloor &floor, const PledgeTable &table);
 
 /**
  * One home's part in a service's healthy capacity floor.
@@ -63,40 +63,40 @@
     /** True if one more ejection here leaves the floor whole. */
     bool mayEject() const;
     /** An ejection was wanted and not allowed: what the others pledge may have changed since this home last looked. */
-    void noteBlocked();
+    void noteEjectionBlocked();
     /** True if a look at the sheet may allow more: after a blocked ejection, or when a home of @p homes is not in it.
      */
-    bool needsSheet(const std::vector<NodeRef> &homes) const;
+    bool needsRefresh(const std::vector<NodeRef> &homes) const;
     /** Takes the sheet as it was just read. @pre no proposal is under way. */
-    void learn(PledgeSheet current);
+    void updateTable(PledgeTable current);
     /** Servers that this home must keep in service now, for explanations. */
     std::uint32_t mustKeep() const;
     std::uint32_t pledge() const;
     /** The sheet as this home last knew it. */
-    const PledgeSheet &knownSheet() const;
+    const PledgeTable &knownTable() const;
 
     /**
      * The change to the sheet that this home wants, to be written on condition of the sheet's version. @p mayAbsorb:
      * this home is the one of the service's homes that takes over the pledges of homes that are gone.
      */
-    std::optional<PledgeSheet> proposal(bool mayAbsorb = true);
+    std::optional<PledgeTable> proposal(bool mayAbsorb = true);
     /** The last proposal took effect and the sheet has @p version. */
     void accepted(std::uint64_t version);
     /** Somebody else's version stands. Without @p current only the proposal is dropped, as when an answer is lost. */
-    void rejected(std::optional<PledgeSheet> current);
+    void rejected(std::optional<PledgeTable> current);
 
 private:
-    std::uint32_t coveredByOthers(const PledgeSheet &sheet) const;
-    bool absorbGoneHome(PledgeSheet &sheet, Pledge &mine) const;
-    bool moveTowardsFairShare(PledgeSheet &sheet, Pledge &mine) const;
+    std::uint32_t coveredByOthers(const PledgeTable &table) const;
+    bool absorbDepartedHome(PledgeTable &table, Pledge &mine) const;
+    bool moveTowardsFairShare(PledgeTable &table, Pledge &mine) const;
 
     NodeRef self_;
     InServiceOf inServiceOf_;
     CapacityFloor floor_;
-    PledgeSheet sheet_;
-    std::optional<PledgeSheet> pending_;
+    PledgeTable table_;
+    std::optional<PledgeTable> pending_;
     /** Never below this home's pledge in the store. */
-    std::uint32_t believed_ = 0;
+    std::uint32_t assumedPledge_ = 0;
     bool registered_ = false;
     bool blocked_ = false;
     std::uint32_t capacity_ = 0;
--- a/include/health/Detector.h
+++ b/include/health/Detector.h
@@ -31,36 +31,36 @@
     virtual ~Detector() = default;
     /** @p peerBadShare: share of bad evidence among the other servers of the same service, 0 to 1. */
     virtual void add(Evidence evidence, double peerBadShare, SteadyTime now) = 0;
-    virtual bool sick() const = 0;
+    virtual bool isUnhealthy() const = 0;
     /** How far the evidence has come towards sick: 1 or more is sick. */
     virtual double suspicion() const = 0;
     virtual void reset() = 0;
 };
 
-using DetectorFactory = std::function<std::unique_ptr<Detector>(EjectionCare)>;
+using DetectorFactory = std::function<std::unique_ptr<Detector>(EjectionPolicy)>;
 
 /** Baseline: sick after a number of bad results in a row. */
 class ConsecutiveDetector final : public Detector
 {
 public:
-    explicit ConsecutiveDetector(EjectionCare care);
+    explicit ConsecutiveDetector(EjectionPolicy policy);
     void add(Evidence evidence, double peerBadShare, SteadyTime now) override;
-    bool sick() const override;
+    bool isUnhealthy() const override;
     double suspicion() const override;
     void reset() override;
 
 private:
     int limit_;
-    int inRow_ = 0;
+    int consecutive_ = 0;
 };
 
 /** Baseline: sick when the bad share in a sliding window is far above that of the peers. */
 class OutlierDetector final : public Detector
 {
 public:
-    explicit OutlierDetector(EjectionCare care);
+    explicit OutlierDetector(EjectionPolicy policy);
     void add(Evidence evidence, double peerBadShare, SteadyTime now) override;
-    bool sick() const override;
+    bool isUnhealthy() const override;
     double suspicion() const override;
     void reset() override;
 
@@ -70,7 +70,7 @@
         bool bad;
     };
     double margin_;
-    std::size_t leastSamples_;
+    std::size_t minSamples_;
     std::deque<Sample> window_;
     std::size_t bad_ = 0;
     double peerBadShare_ = 0.0;
@@ -83,13 +83,13 @@
 class CusumDetector final : public Detector
 {
 public:
-    explicit CusumDetector(EjectionCare care);
+    explicit CusumDetector(EjectionPolicy policy);
     void add(Evidence evidence, double peerBadShare, SteadyTime now) override;
-    bool sick() const override;
+    bool isUnhealthy() const override;
     double suspicion() const override;
     void reset() override;
     /** Score at which a server counts as sick. Thread safe. */
-    static double threshold(EjectionCare care);
+    static double threshold(EjectionPolicy policy);
 
 private:
     double threshold_;
--- a/include/health/GrayFilter.h
+++ b/include/health/GrayFilter.h
@@ -9,21 +9,21 @@
 /** What is known of gray servers beforehand; each phase then shows its own share of failures and its own length. */
 struct GrayTuning {
     /** Share of requests that a sound server fails: one in a hundred, by the users' account. */
-    double failsWhenWell = 0.012;
+    double healthyFailureRate = 0.012;
     /** Share that a gray one fails: 40 to 75 in a hundred, by the users' account. */
-    double failsWhenGray = 0.6;
-    /** How many requests of a phase weigh as much as failsWhenGray in the estimate of this phase's share. */
+    double grayFailureRate = 0.6;
+    /** How many requests of a phase weigh as much as grayFailureRate in the estimate of this phase's share. */
     double priorWeight = 2.0;
     /** How long a gray phase lasts on average: 5 to 8 s, by the users' account. */
-    Millis meanGray = std::chrono::milliseconds(6500);
-    /** A phase that has lasted longer than meanGray is expected to last as long again, up to this. */
-    Millis longestGray = std::chrono::seconds(20);
-    /** How long a server is well in between; with meanGray it says that one in six is gray at any time. */
-    Millis meanWell = std::chrono::seconds(30);
+    Millis meanGrayDuration = std::chrono::milliseconds(6500);
+    /** A phase that has lasted longer than meanGrayDuration is expected to last as long again, up to this. */
+    Millis maxGrayDuration = std::chrono::seconds(20);
+    /** How long a server is well in between; with meanGrayDuration it says that one in six is gray at any time. */
+    Millis meanHealthyDuration = std::chrono::seconds(30);
     /** However many good answers came: a server can turn gray between two of them. */
-    double leastDoubt = 0.002;
+    double minProbability = 0.002;
     /** However many failures came: the phase can end between two of them, and good answers then count. */
-    double mostDoubt = 0.99;
+    double maxProbability = 0.99;
 };
 
 /**
@@ -44,7 +44,7 @@
     /** A request failed. @p ratio: how much likelier such a failure is from a gray server than from a well one. */
     void addFailure(double ratio, SteadyTime now);
     /** Probability that the server is gray, 0 to 1. */
-    double doubt(SteadyTime now) const;
+    double grayProbability(SteadyTime now) const;
     /** A new process: nothing is known of it. */
     void reset(SteadyTime now);
 
@@ -57,15 +57,15 @@
         double successes = 0.0;
     };
 
-    void addRatio(double ratio, SteadyTime now);
+    void applyRatio(double ratio, SteadyTime now);
     /** Share of requests that fail in the phase that runs. */
-    double failsNow() const;
+    double currentFailureRate() const;
     /** How long the phase that runs is expected to go on. */
-    Duration expectedGray() const;
+    Duration expectedGrayDuration() const;
 
     GrayTuning tuning_;
-    double doubt_;
-    SteadyTime at_;
+    double probability_;
+    SteadyTime updatedAt_;
     std::optional<Phase> phase_;
 };
 
--- a/include/health/ServerHealth.h
+++ b/include/health/ServerHealth.h
@@ -24,13 +24,13 @@
 struct HealthTuning {
     Millis ramp = std::chrono::seconds(10);
     Millis firstEjection = std::chrono::seconds(5);
-    Millis longestEjection = std::chrono::minutes(5);
+    Millis maxEjection = std::chrono::minutes(5);
     /** After this long in service a past ejection no longer lengthens the next. */
-    Millis forgiveAfter = std::chrono::minutes(10);
-    int goodToReturn = 5;
-    int mostGoodToReturn = 40;
+    Millis resetRelapsesAfter = std::chrono::minutes(10);
+    int successesToReturn = 5;
+    int maxSuccessesToReturn = 40;
     /** Without idempotent work to try it with, a server gets one other request after this long on probation. */
-    Millis probationWithoutTrial = std::chrono::seconds(30);
+    Millis probationWithoutProbe = std::chrono::seconds(30);
 };
 
 /**
@@ -53,7 +53,7 @@
     void restarted(SteadyTime now);
 
     ServerPhase phase() const;
-    bool wantsEjection() const;
+    bool shouldEject() const;
     double suspicion() const;
     /** True while the server counts as healthy capacity. */
     bool countsAsInService() const;
@@ -67,16 +67,16 @@
 private:
     void startProbation(SteadyTime now);
     void startRamp(SteadyTime now);
-    int goodNeeded() const;
+    int successesNeeded() const;
 
     std::unique_ptr<Detector> detector_;
     HealthTuning tuning_;
     ServerPhase phase_ = ServerPhase::Ramp;
-    SteadyTime phaseSince_;
+    SteadyTime phaseStart_;
     SteadyTime ejectedUntil_;
     Millis ejection_;
     int relapses_ = 0;
-    int goodInProbation_ = 0;
+    int probationSuccesses_ = 0;
     bool coldStart_ = true;
 };
 
--- a/include/home/LocalServerState.h
+++ b/include/home/LocalServerState.h
@@ -19,7 +19,7 @@
     /** A new process of the server takes work. */
     Started,
     /** The server takes no more work. */
-    Left,
+    Stopped,
 };
 
 /**
@@ -31,25 +31,25 @@
 {
 public:
     /** Takes an announcement. @p expected: the server that the settings name. */
-    ServerChange take(const Announcement &announcement, const LocalServer &expected);
+    ServerChange update(const Announcement &announcement, const LocalServer &expected);
     /** The server says that it goes; @p incarnation if it named one. */
-    ServerChange takeFarewell(const std::string &server, std::optional<std::uint64_t> incarnation);
+    ServerChange deregister(const std::string &server, std::optional<std::uint64_t> incarnation);
     /** Another process answers at the address, or none: nothing is known until the next newer announcement. */
     void noteReplaced();
 
     /** The process that takes work, or null. */
     const Announcement *serving() const;
     /** The newest process known, whatever its state. */
-    const Announcement *known() const;
+    const Announcement *latest() const;
 
 private:
     bool isOlder(const Announcement &announcement) const;
 
     std::optional<Announcement> current_;
     /** The current one no longer takes work. */
-    bool left_ = false;
+    bool stopped_ = false;
     /** Incarnations that said farewell, by server id: their late announcements say nothing. */
-    std::map<std::string, std::uint64_t> gone_;
+    std::map<std::string, std::uint64_t> deregistered_;
 };
 
 } // namespace waxwing
--- a/include/home/ServiceHome.h
+++ b/include/home/ServiceHome.h
@@ -45,7 +45,7 @@
 struct HomeDecision {
     std::string event;
     std::string server;
-    std::vector<std::pair<std::string, std::string>> evidence;
+    std::vector<std::pair<std::string, std::string>> fields;
 };
 
 /** Bounds and times of one service at its home. */
@@ -54,7 +54,7 @@
     /** A server that has not announced itself for this long gets no new work. */
     Millis announceTimeout = std::chrono::seconds(2);
     /** A silent server is forgotten after this long. */
-    Millis forgetAfter = std::chrono::seconds(30);
+    Millis removeAfter = std::chrono::seconds(30);
     std::size_t queuePerClass = 64;
     /** Refuse at once what would miss its deadline. Off only where a bench compares with a baseline. */
     bool refuseEarly = true;
@@ -66,7 +66,7 @@
     double slowClassShare = 0.5;
     /** A class is slow beside another one if its work takes this many times as long. */
     int slowClassFactor = 4;
-    Millis classMemory = std::chrono::seconds(10);
+    Millis activeClassWindow = std::chrono::seconds(10);
     /** Nobody is ejected while the median of the other servers has a larger share of bad results: the service is slow.
      */
     double slowServiceShare = 0.05;
@@ -116,12 +116,12 @@
         std::uint64_t id = 0;
         std::string server;
     };
-    struct Due {
+    struct PollResult {
         std::vector<Assignment> assigned;
         std::vector<std::uint64_t> expired;
     };
     /** Assigns waiting requests to free slots and takes out the ones whose deadline has passed. */
-    Due poll(SteadyTime now);
+    PollResult poll(SteadyTime now);
     /** Moves phases, expires announcements, ejects what the floor allows. Call every 50 ms or so. */
     std::vector<HomeDecision> tick(SteadyTime now);
 
@@ -129,14 +129,14 @@
     std::uint32_t inService() const;
     std::uint32_t freeSlots(SteadyTime now) const;
     /** True if a server not in @p exclude has a free slot. */
-    bool hasRoomBeside(const std::set<std::string> &exclude, SteadyTime now) const;
+    bool hasFreeSlotExcluding(const std::set<std::string> &exclude, SteadyTime now) const;
     std::size_t queued() const;
     std::size_t inFlight() const;
     /** Servers known, also the silent and the ejected. */
     std::vector<ServerView> servers() const;
     const Announcement *find(const std::string &server) const;
     /** Share of bad results lately, over all servers but @p except. */
-    double badShareWithout(const std::string &except) const;
+    double badShareExcluding(const std::string &except) const;
     bool hasNoServers() const;
 
 private:
@@ -153,7 +153,7 @@
         SteadyTime lastAnnounced;
         std::uint32_t inFlight = 0;
         /** Order of the last hand-over, so that equally loaded servers take turns. */
-        std::uint64_t lastTurn = 0;
+        std::uint64_t lastAssignment = 0;
         bool dead = false;
         bool keptForFloor = false;
         /** Decaying counts of results. */
@@ -165,7 +165,7 @@
         std::uint32_t inFlight = 0;
         SteadyTime lastSeen;
         /** Smoothed time that a server works on one request. */
-        Duration typical{0};
+        Duration workTime{0};
     };
 
     bool isPresent(const Server &server, SteadyTime now) const;
@@ -174,15 +174,15 @@
     std::uint32_t totalUsableSlots(SteadyTime now) const;
     Server *pick(const ClassIntent &intent, const std::set<std::string> &exclude, SteadyTime now);
     Server *pickRamping(const std::set<std::string> &exclude, SteadyTime now);
-    bool serviceIsSlow(const std::string &except, SteadyTime now) const;
+    bool isServiceSlow(const std::string &except, SteadyTime now) const;
     bool classMayStart(const std::string &className, SteadyTime now) const;
     void assign(Server &server, std::uint64_t id, const std::string &className);
     Duration expectedWait(const std::string &className, SteadyTime now) const;
     Admission refusal(std::string reason, Duration retryAfter) const;
-    EjectionCare mostCareful() const;
-    void refreshFloor(SteadyTime now);
-    void ejectSick(std::vector<HomeDecision> &decisions, SteadyTime now);
-    static void count(Server &server, bool bad, SteadyTime now);
+    EjectionPolicy mostCarefulPolicy() const;
+    void updateFloor(SteadyTime now);
+    void ejectUnhealthyServers(std::vector<HomeDecision> &decisions, SteadyTime now);
+    static void recordResult(Server &server, bool bad, SteadyTime now);
 
     std::string service_;
     HomeTuning tuning_;
@@ -194,12 +194,12 @@
     std::map<std::string, ClassLoad> classes_;
     std::map<std::uint64_t, std::string> classOf_;
     std::map<std::uint64_t, std::set<std::string>> excluded_;
-    std::uint64_t turn_ = 0;
+    std::uint64_t assignments_ = 0;
     double peerGood_ = 0.0;
     double peerBad_ = 0.0;
     SteadyTime peerCountedAt_;
     SteadyTime now_;
-    std::string lastSlowService_;
+    std::string lastReportedSlow_;
 };
 
 } // namespace waxwing
--- a/include/home/SlotQueue.h
+++ b/include/home/SlotQueue.h
@@ -20,11 +20,11 @@
     /** What a request of the asked priority that came now would wait for its slot. */
     Millis wait{0};
     /** Probability that the server is gray. */
-    double doubt = 0.0;
+    double grayProbability = 0.0;
     /** Work takes this many times as long as usual; 1 is usual. */
     double slowdown = 1.0;
     /** Share of requests that the server turned away lately though it had free slots. */
-    double shedding = 0.0;
+    double shedRate = 0.0;
 };
 
 /** A request as the home of one server decides about it. */
@@ -32,22 +32,22 @@
     std::uint64_t id = 0;
     std::string route;
     /** If the server fails it, the sender can and will send it to another one. */
-    bool repeatable = false;
+    bool retryable = false;
     int priority = 0;
     /** Finished by then it counts in full. */
     SteadyTime objective;
     /** Nobody waits for it after this. */
     SteadyTime deadline;
     /** How long the sender would rather have it wait here than try another home. */
-    Millis patience{0};
+    Millis queueTimeout{0};
     /** The sender knows of the doubt about the server and has nothing better. */
-    bool acceptsDoubt = false;
+    bool acceptsGray = false;
 };
 
-enum class SlotVerdict {
+enum class SlotAction {
     Start,
-    Wait,
-    Refused,
+    Queue,
+    Refuse,
 };
 
 /** Why a home refuses; the words stand in logs and replies. */
@@ -58,15 +58,15 @@
     /** Its slots and the request's patience are spent. */
     Busy,
     /** The server may be gray, and the request can't be tried again, or a trial was made just now. */
-    Doubtful,
+    LikelyGray,
     /** Too little time is left. */
     TooLate,
 };
 
-const char *refusalName(RefusalReason reason);
+const char *refusalReasonName(RefusalReason reason);
 
 struct SlotDecision {
-    SlotVerdict verdict = SlotVerdict::Refused;
+    SlotAction action = SlotAction::Refuse;
     RefusalReason reason = RefusalReason::None;
 };
 
@@ -75,46 +75,46 @@
      * From this doubt on the server gets no work that can't be tried again. A single failure puts a server that was
      * as usual above it, and about four seconds without evidence, or three good answers, put it below.
      */
-    double doubtful = 0.45;
+    double grayThreshold = 0.45;
     /**
      * From this doubt on also a sender that knows of it is refused: three of four requests would be lost there, and a
      * refused caller at least knows that it may come again.
      */
-    double hopeless = 0.8;
+    double certainGrayThreshold = 0.8;
     /**
      * While in doubt, repeatable requests go to the server one at a time, with this pause between them. It grows by the
      * factor with each trial that fails: 12 s of failures take at most 16 trials, where up to 80 were possible. The
      * longest one stays below the two seconds in which the floor of servers in use is judged.
      */
-    Millis firstTrialPause{150};
-    Millis longestTrialPause{1200};
-    double trialPauseFactor = 1.7;
+    Millis initialProbeInterval{150};
+    Millis maxProbeInterval{1200};
+    double probeIntervalFactor = 1.7;
     /**
      * After the first trial, requests whose sender does not know of the doubt wait for so many pauses, up to the bound:
      * other homes have room for them. In a large fleet there is such a sender whenever a trial may be made.
      */
-    double unawareFactor = 2.0;
-    Millis longestUnawarePause{1800};
+    double uninformedSenderFactor = 2.0;
+    Millis maxUninformedProbeInterval{1800};
     /**
      * How much likelier a failure is from a gray server: one that came at once, and one after the usual work time. A
      * sound server fails mostly after having worked on the request, a gray one mostly before.
      */
-    double quickFailureRatio = 500.0;
+    double fastFailureRatio = 500.0;
     double slowFailureRatio = 6.0;
     /** A failure within this part of the usual work time came at once. */
-    double quickPart = 0.2;
+    double fastFailureFraction = 0.2;
     /** Weight of the newest work time in the mean. */
     double smoothing = 0.1;
     /** A home of which nothing is known yet plans with this work time. */
-    Millis assumedWork{200};
+    Millis defaultWorkTime{200};
     /** Memory of how much of the slots each rank takes, and the most that is believed of it: waits stay finite. */
-    Millis occupancyMemory{2000};
-    double mostOccupied = 0.9;
+    Millis occupancyTimeConstant{2000};
+    double maxOccupancy = 0.9;
     /** The share of requests that the server turns away: weight of the newest one, and half-life without any. */
     double shedSmoothing = 0.15;
     Millis shedHalfLife{2000};
     /** Requests that may wait at once: memory's bound, far above what patience allows. */
-    std::size_t mostWaiting = 256;
+    std::size_t maxWaiting = 256;
     GrayTuning gray;
 };
 
@@ -129,12 +129,12 @@
 public:
     explicit SlotQueue(SlotTuning tuning = {});
 
-    /** A server process is there with this many slots. @p fresh: it is another process than before. */
-    void setServer(std::uint32_t slots, bool fresh, SteadyTime now);
+    /** A server process is there with this many slots. @p newProcess: it is another process than before. */
+    void setServer(std::uint32_t slots, bool newProcess, SteadyTime now);
     /** It takes no more work: returns the requests that waited. */
     std::vector<std::uint64_t> clearServer();
     /** Takes out all requests that wait; the server goes on with what it runs. */
-    std::vector<std::uint64_t> takeWaiting();
+    std::vector<std::uint64_t> removeWaiting();
     bool hasServer() const;
 
     SlotDecision submit(const SlotRequest &request, SteadyTime now);
@@ -156,32 +156,32 @@
     /** Other evidence against the server. @p ratio: how much likelier it is from a gray server than from a well one. */
     void addEvidence(double ratio, SteadyTime now);
 
-    struct Due {
+    struct PollResult {
         std::vector<std::uint64_t> start;
         std::vector<std::uint64_t> expired;
     };
     /** Starts waiting requests in free slots, most urgent first, and takes out those that waited long enough. */
-    Due poll(SteadyTime now);
+    PollResult poll(SteadyTime now);
     /** When poll() should be called even if nothing else happens; SteadyTime::max() if nothing waits. */
-    SteadyTime nextDue(SteadyTime now) const;
+    SteadyTime nextPollTime(SteadyTime now) const;
 
     /** As it stands for a request of @p priority. */
     HomeLoad load(int priority, SteadyTime now) const;
     std::size_t running() const;
     std::size_t waiting() const;
-    double doubt(SteadyTime now) const;
+    double grayProbability(SteadyTime now) const;
     /** Smoothed work time of @p route here; the assumed one if it never ran. */
-    Duration typicalWork(const std::string &route) const;
+    Duration expectedWorkTime(const std::string &route) const;
     /** A request of @p route ended well here. */
-    bool knowsWork(const std::string &route) const;
+    bool hasWorkTime(const std::string &route) const;
 
 private:
     struct Waiting {
         SlotRequest request;
-        SteadyTime until;
+        SteadyTime expiresAt;
     };
     struct Running {
-        bool trial = false;
+        bool probe = false;
         int rank = 0;
         SteadyTime since;
     };
@@ -192,14 +192,14 @@
     };
     struct WorkTime {
         double recent = 0.0;
-        double usual = 0.0;
+        double baseline = 0.0;
     };
 
     bool isMoreUrgent(const SlotRequest &a, const SlotRequest &b, SteadyTime now) const;
     bool hasFreeSlot() const;
-    RefusalReason doubtRefuses(const SlotRequest &request, SteadyTime now) const;
+    RefusalReason grayRefusal(const SlotRequest &request, SteadyTime now) const;
     /** From one trial to the next one, if that is @p request. */
-    Duration trialPauseFor(const SlotRequest &request) const;
+    Duration probeIntervalFor(const SlotRequest &request) const;
     void start(const SlotRequest &request, SteadyTime now);
     void noteFailure(double ratio, SteadyTime now);
     Duration expectedWait(const SlotRequest &request, SteadyTime now) const;
@@ -209,12 +209,12 @@
      * It is late by now, and those that can be in time leave no room for it: its caller is better off to hear so than
      * to wait until its time is over.
      */
-    bool waitsInVain(const Waiting &one, SteadyTime now) const;
+    bool willTimeOut(const Waiting &one, SteadyTime now) const;
     /** Share of the slots that work more urgent than @p rank took lately. */
-    double occupiedBefore(int rank, SteadyTime now) const;
-    Duration meanWork() const;
+    double occupancyAbove(int rank, SteadyTime now) const;
+    Duration meanWorkTime() const;
     double slowdown() const;
-    double shedding(SteadyTime now) const;
+    double shedRate(SteadyTime now) const;
     /** The rank in which it is served: its priority, and after all of these if it is late already. */
     int rankOf(const SlotRequest &request, SteadyTime now) const;
 
@@ -223,13 +223,13 @@
     std::uint32_t slots_ = 0;
     std::list<Waiting> waiting_;
     std::map<std::uint64_t, Running> running_;
-    std::map<std::string, WorkTime> work_;
+    std::map<std::string, WorkTime> workTimes_;
     /** Smoothed seconds over all routes. */
-    double meanWork_ = 0.0;
+    double meanWorkTime_ = 0.0;
     double shedShare_ = 0.0;
     SteadyTime shedAt_;
-    SteadyTime lastTrial_;
-    Duration trialPause_;
+    SteadyTime lastProbe_;
+    Duration probeInterval_;
     /**
      * By rank. Work that is more urgent and comes later goes first, which the queue's length can't show; without this
      * the less urgent would be let in to wait in vain.
--- a/include/intent/ClassIntent.h
+++ b/include/intent/ClassIntent.h
@@ -12,7 +12,7 @@
 namespace waxwing {
 
 /** How detection time is weighed against false ejections, in the words of an intent. */
-enum class EjectionCare {
+enum class EjectionPolicy {
     /** Detection time counts more: a sick server leaves on little evidence. */
     Fast,
     Balanced,
@@ -20,7 +20,7 @@
     Careful,
 };
 
-const char *ejectionCareName(EjectionCare care);
+const char *ejectionPolicyName(EjectionPolicy policy);
 
 /** Requests that belong to a class: those whose method is listed (none: all) and whose path begins with the prefix. */
 struct RouteRule {
@@ -44,7 +44,7 @@
     /** Share of requests that must succeed in time. */
     double successRate = 0.99;
     CapacityFloor floor;
-    EjectionCare care = EjectionCare::Balanced;
+    EjectionPolicy policy = EjectionPolicy::Balanced;
     /** A request that names no deadline gets this one. */
     Millis deadline{5000};
 };
--- a/include/limit/RouteOrigins.h
+++ b/include/limit/RouteOrigins.h
@@ -27,7 +27,7 @@
     /** A request of @p route came from a VM in @p zone whose server belongs to @p service. */
     void note(const std::string &route, const std::string &zone, const std::string &service);
     /** Requests of @p route are calls of servers. False as long as chance explains where they came from. */
-    bool isInnerCall(const std::string &route) const;
+    bool isNestedCall(const std::string &route) const;
 
 private:
     struct Origins {
--- a/include/limit/SecondSendBudget.h
+++ b/include/limit/SecondSendBudget.h
@@ -9,7 +9,7 @@
 namespace waxwing {
 
 /** The bound that all nodes together must keep on what they send a service beyond each request's first time. */
-struct SecondSendTuning {
+struct FleetRetryTuning {
     /** Share of the requests for the service that may be sent once more. */
     double share = 0.2;
     /** So many more in a window, for the whole fleet. */
@@ -19,27 +19,27 @@
      * Part of the bound that nodes use; the rest covers nodes whose counts were lost in a restart, and the calls that a
      * repeated run repeats, which are known as a mean and not before a first run.
      */
-    double usedPart = 0.75;
+    double usableFraction = 0.75;
     /** Sends borrowed from another node are used at once or not at all, so that both count them in the same window. */
-    Millis creditLife{500};
+    Millis transferLifetime{500};
     /** Sends that are less urgent, or only may turn out useful, leave this part to the others. */
-    double reservedPart = 0.5;
+    double reservedFraction = 0.5;
 };
 
 /** How a node whose part is spent borrows. */
-struct BorrowTuning {
+struct TransferTuning {
     /** Other nodes asked for one loan, one after the other until there is enough. */
-    std::size_t mostLenders = 12;
+    std::size_t maxDonors = 12;
     /** Asked for beyond what is missing: the next failure is near. What is not used soon is lost to the fleet. */
-    double ahead = 2.0;
+    double extraTokens = 2.0;
 };
 
 /** What a second send is for. */
-enum class SecondSend {
+enum class RetryReason {
     /** The first one failed. */
-    AfterFailure,
+    Failure,
     /** The first one failed, and more urgent requests need the service's second sends as well. */
-    AfterLessUrgentFailure,
+    LowPriorityFailure,
     /** The first one takes long. */
     Hedge,
 };
@@ -50,46 +50,46 @@
  * borrows from others: the lender counts what it lends as sent, so the sum stays the same, and a reply that is lost
  * wastes sends but never makes any. Not thread safe.
  */
-class SecondSendBudget
+class FleetRetryBudget
 {
 public:
-    explicit SecondSendBudget(SecondSendTuning tuning = {});
+    explicit FleetRetryBudget(FleetRetryTuning tuning = {});
     /** A request for the service was taken from a caller. */
     void noteRequest(SteadyTime now);
-    /** True if @p sends more second sends keep the bound. @p nodes: how many share the slack. */
-    bool has(double sends, std::size_t nodes, SecondSend purpose, SteadyTime now) const;
+    /** True if @p tokens more second sends keep the bound. @p nodes: how many share the slack. */
+    bool has(double tokens, std::size_t nodes, RetryReason reason, SteadyTime now) const;
     /** Counts them. A send that repeats calls of its own counts a mean number of them at the service called. */
-    void take(double sends, SteadyTime now);
+    void take(double tokens, SteadyTime now);
     /** Sends that were taken did not happen. */
-    void giveBack(double sends, SteadyTime now);
-    /** Lends another node up to @p sends, and not more than half of what is left here. Returns how many. */
-    double lend(double sends, SecondSend purpose, std::size_t nodes, SteadyTime now);
-    /** Another node lent @p sends. */
-    void borrow(double sends, SteadyTime now);
+    void refund(double tokens, SteadyTime now);
+    /** Lends another node up to @p tokens, and not more than half of what is left here. Returns how many. */
+    double transferOut(double tokens, RetryReason reason, std::size_t nodes, SteadyTime now);
+    /** Another node lent @p tokens. */
+    void transferIn(double tokens, SteadyTime now);
 
 private:
     static constexpr std::size_t steps = 20;
     struct Step {
         std::int64_t number = -1;
         std::uint32_t requests = 0;
-        double seconds = 0.0;
+        double retries = 0.0;
     };
 
-    struct Loan {
-        double sends = 0.0;
+    struct Transfer {
+        double tokens = 0.0;
         SteadyTime until;
     };
 
     /** What may still be sent by this node's own part. */
-    double left(std::size_t nodes, SecondSend purpose, SteadyTime now) const;
-    double credit(SteadyTime now) const;
+    double remaining(std::size_t nodes, RetryReason reason, SteadyTime now) const;
+    double transferredTokens(SteadyTime now) const;
     Step &stepAt(SteadyTime now);
     std::int64_t numberAt(SteadyTime now) const;
 
-    SecondSendTuning tuning_;
-    std::array<Step, steps + 1> ring_{};
+    FleetRetryTuning tuning_;
+    std::array<Step, steps + 1> steps_{};
     /** Each expires by itself: a new loan must not prolong an earlier one. */
-    std::deque<Loan> loans_;
+    std::deque<Transfer> transfers_;
 };
 
 } // namespace waxwing
--- a/include/poison/PoisonRegistry.h
+++ b/include/poison/PoisonRegistry.h
@@ -37,8 +37,8 @@
 public:
     static constexpr std::size_t deathsToRefuse = 2;
 
-    /** @pre @p clock outlives the registry; @p memory: how long a death counts. */
-    explicit PoisonRegistry(const Clock &clock, Millis memory = std::chrono::hours(1));
+    /** @pre @p clock outlives the registry; @p retention: how long a death counts. */
+    explicit PoisonRegistry(const Clock &clock, Millis retention = std::chrono::hours(1));
     /** @p server names the server and its incarnation. Returns true if the death was not known. */
     bool noteDeath(std::uint64_t digest, const std::string &server);
     std::size_t deaths(std::uint64_t digest) const;
@@ -54,7 +54,7 @@
     };
 
     const Clock &clock_;
-    Millis memory_;
+    Millis retention_;
     std::map<std::uint64_t, Entry> entries_;
 };
 
--- a/include/report/BurnRecorder.h
+++ b/include/report/BurnRecorder.h
@@ -52,9 +52,9 @@
     static constexpr Millis slice = std::chrono::minutes(5);
     static constexpr Millis hourlySlice = std::chrono::hours(1);
     static constexpr Millis coarseSlice = std::chrono::hours(6);
-    static constexpr Millis fineMemory = std::chrono::hours(1);
-    static constexpr Millis hourlyMemory = std::chrono::hours(12);
-    static constexpr Millis memory = std::chrono::hours(72);
+    static constexpr Millis fineRetention = std::chrono::hours(1);
+    static constexpr Millis hourlyRetention = std::chrono::hours(12);
+    static constexpr Millis retention = std::chrono::hours(72);
 
     /** @pre @p clock outlives the recorder. */
     explicit BurnRecorder(const Clock &clock);
@@ -72,13 +72,13 @@
 };
 
 /** Burn of one class over one window: 1 means that the budget is spent exactly at the allowed rate. */
-struct BurnFigure {
+struct BurnRate {
     std::string label;
     BurnCounts counts;
     double burn = 0.0;
 };
 
 /** Burn over the last 1 h, 6 h and 3 d before @p now, for a target such as 0.999. Thread safe. */
-std::vector<BurnFigure> burnFigures(const BurnSlices &slices, double successRate, WallTime now);
+std::vector<BurnRate> burnRates(const BurnSlices &slices, double successRate, WallTime now);
 
 } // namespace waxwing
--- a/include/route/HomeChooser.h
+++ b/include/route/HomeChooser.h
@@ -52,8 +52,8 @@
     /** No answer came over the path to @p home. */
     void notePathFailure(const NodeRef &home, SteadyTime now);
     /** Something came over it. */
-    void notePathGood(const NodeRef &home);
-    bool isPathBad(const NodeRef &home, SteadyTime now) const;
+    void notePathRecovered(const NodeRef &home);
+    bool isPathFailed(const NodeRef &home, SteadyTime now) const;
     /** Forgets homes that no request went to for a while. */
     void expire(SteadyTime now);
 
@@ -62,14 +62,14 @@
         std::int32_t inFlight = 0;
         std::int32_t freeSlots = 1;
         std::int32_t queued = 0;
-        SteadyTime heardAt;
+        SteadyTime loadAt;
         /** Smoothed share of requests that failed there, and when it last changed. */
         double failedShare = 0.0;
-        SteadyTime judgedAt;
+        SteadyTime lastResultAt;
     };
     struct Path {
         int failures = 0;
-        SteadyTime badUntil;
+        SteadyTime failedUntil;
     };
 
     double cost(const std::string &service, const HomeCandidate &candidate, SteadyTime now) const;
--- a/include/wire/Messages.h
+++ b/include/wire/Messages.h
@@ -76,7 +76,7 @@
 struct Cancel {
     std::uint64_t id = 0;
     /** Only if it has not begun: otherwise the sender still wants the answer. */
-    bool onlyWaiting = false;
+    bool onlyIfQueued = false;
 };
 
 /** Records that changed, passed on. */
@@ -133,14 +133,14 @@
 /** Versions that a node holds, on every message about work: who sees a higher one asks its sender for it. */
 struct KnownVersions {
     std::uint64_t config = 0;
-    std::uint64_t roster = 0;
-    /** So long ago it was known that no newer configuration existed; cut at mostConfigAge. */
-    Millis configAge = mostConfigAge;
+    std::uint64_t registry = 0;
+    /** So long ago it was known that no newer configuration existed; cut at maxConfigAge. */
+    Millis configAge = maxConfigAge;
     /** The store answered when this node asked it last. */
-    bool storeAnswers = false;
+    bool isStoreReachable = false;
 
     /** Beyond this age, or if it was never confirmed, the age says nothing. */
-    static constexpr Millis mostConfigAge{25500};
+    static constexpr Millis maxConfigAge{25500};
 };
 
 /** A request for the one server beside the receiver. */
@@ -153,15 +153,15 @@
     std::string route;
     bool idempotent = false;
     /** If the server fails it, the sender can and will send it to another one. */
-    bool repeatable = false;
+    bool retryable = false;
     /** The sender knows of the doubt about the server and has nothing better. */
-    bool acceptsDoubt = false;
+    bool acceptsGray = false;
     /** 0 is the most urgent: calls that other work waits for. Callers' work has its route's rank plus one. */
     std::uint8_t priority = 0;
     /** Time left to the deadline and to the objective when it was sent; durations, since clocks differ. */
     Millis remaining{0};
     Millis untilObjective{0};
-    Millis patience{0};
+    Millis queueTimeout{0};
     /** Age of the link's Hello at the sender when this was sent: tells the receiver how long it was under way. */
     Millis helloAge{0};
     KnownVersions versions;
@@ -169,7 +169,7 @@
 };
 
 /** The home has the request: it waits or runs there. */
-struct WorkReceipt {
+struct WorkAck {
     std::uint64_t id = 0;
     KnownVersions versions;
 };
@@ -186,11 +186,11 @@
     std::string reason;
     std::string server;
     /** How long the server worked on it. */
-    Millis worked{0};
+    Millis processingTime{0};
     /** Calls that a run of this route makes, as its home has learned. */
     CallRates calls;
     /** By where the requests of this route come from, they are calls of servers. */
-    bool innerCall = false;
+    bool nestedCall = false;
     HomeLoad load;
     KnownVersions versions;
     HttpResponse response;
@@ -208,11 +208,11 @@
     NodeRef origin;
     std::uint64_t workId = 0;
     /** Only asks; does not forbid. */
-    bool onlyAsk = false;
+    bool queryOnly = false;
     /** Asks for the answer also if it is large; without this only a small one comes along. */
-    bool fetch = false;
+    bool includeLargeReply = false;
     /** How long before this question the work was sent: the target may have forgotten works that ended since. */
-    Millis sentAgo{0};
+    Millis workAge{0};
 };
 
 enum class FenceState : std::uint8_t {
@@ -236,18 +236,18 @@
 };
 
 /** Asks another node to lend some of its second sends for a service. */
-struct LendRequest {
+struct BudgetTransferRequest {
     std::uint64_t id = 0;
     std::string service;
-    double sends = 0.0;
+    double tokens = 0.0;
     /** More urgent requests need the service's second sends as well. */
-    bool lessUrgent = false;
+    bool lowPriority = false;
 };
 
 /** The second sends lent; none if the lender has none to spare. */
-struct LendReply {
+struct BudgetTransferReply {
     std::uint64_t id = 0;
-    double sends = 0.0;
+    double tokens = 0.0;
 };
 
 /** The sender gets no answer from a node any more: the receiver does well to try its own path to it. */
@@ -256,25 +256,25 @@
 };
 
 /** Asks which versions the receiver holds, and for what it holds in a higher one. */
-struct NewsRequest {
+struct StateUpdateRequest {
     std::uint64_t id = 0;
     KnownVersions versions;
     bool wantsConfig = false;
-    bool wantsRoster = false;
+    bool wantsRegistry = false;
 };
 
 /** The configuration's document, and the roster as a whole; each only if it is newer for the receiver. */
-struct News {
+struct StateUpdate {
     /** Of the request that it answers; 0 if nobody asked. */
     std::uint64_t id = 0;
     KnownVersions versions;
     std::string config;
-    std::vector<RosterEntry> roster;
+    std::vector<RegistryEntry> registry;
 };
 
 using Message = std::variant<Hello, Exec, ExecReply, Cancel, RecordsPush, RecordNames, DigestOffer, BucketNames, Ping,
-                             Pong, ClaimHandover, Work, WorkReceipt, WorkReply, Fence, FenceReply, NewsRequest, News,
-                             LendRequest, LendReply, PathSuspicion>;
+                             Pong, ClaimHandover, Work, WorkAck, WorkReply, Fence, FenceReply, StateUpdateRequest,
+                             StateUpdate, BudgetTransferRequest, BudgetTransferReply, PathSuspicion>;
 
 /** The body of the request or answer that @p message carries, or null if it carries none. Thread safe. */
 std::string *bodyOf(Message &message);
--- a/src/base/CrashLog.cpp
+++ b/src/base/CrashLog.cpp
@@ -19,8 +19,8 @@
 
 /** A fault may be that of a full stack, so its handler has its own. */
 constexpr std::size_t handlerStackBytes = 64UL * 1024;
-constexpr std::size_t mostFrames = 48;
-constexpr std::size_t mostLineBytes = 1200;
+constexpr std::size_t maxFrames = 48;
+constexpr std::size_t maxLineBytes = 1200;
 
 std::array<char, handlerStackBytes> handlerStack;
 
@@ -63,13 +63,13 @@
         }
     }
 
-    std::array<char, mostLineBytes> bytes_{};
+    std::array<char, maxLineBytes> bytes_{};
     std::size_t used_ = 0;
 };
 
 void writeCrash(const char *cause, int signal, std::uint64_t address)
 {
-    std::array<const void *, mostFrames> frames{};
+    std::array<const void *, maxFrames> frames{};
     const std::size_t count = boost::stacktrace::safe_dump_to(frames.data(), frames.size() * sizeof(void *));
     const auto start = reinterpret_cast<std::uint64_t>(&__executable_start);
     FixedLine line;
--- a/src/base/DurationText.cpp
+++ b/src/base/DurationText.cpp
@@ -13,7 +13,7 @@
 };
 
 constexpr std::array<Unit, 4> units = {Unit{"h", 3600000}, Unit{"m", 60000}, Unit{"s", 1000}, Unit{"ms", 1}};
-constexpr std::int64_t largestCount = 100000000;
+constexpr std::int64_t maxCount = 100000000;
 
 } // namespace
 
@@ -22,7 +22,7 @@
     std::int64_t count = 0;
     const char *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, count);
-    if (parsed.ec != std::errc() || count < 0 || count > largestCount) {
+    if (parsed.ec != std::errc() || count < 0 || count > maxCount) {
         return fail(ErrorCode::Malformed, "not a duration such as 250ms, 3s, 10m or 1h: \"" + text + "\"");
     }
     const std::string unit(parsed.ptr, end);
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -38,19 +38,19 @@
 }
 
 /** The process's lines on their way to standard output. */
-LinePipe &standardOutput()
+LineWriter &standardOutput()
 {
-    static LinePipe pipe(nonBlockingSink(STDOUT_FILENO));
+    static LineWriter pipe(nonBlockingSink(STDOUT_FILENO));
     return pipe;
 }
 
 /** Flushed as soon as so much waits, so that a burst does not fill the pipe's buffer between two flushes. */
-constexpr std::size_t flushFrom = 16UL * 1024;
+constexpr std::size_t flushThreshold = 16UL * 1024;
 
 // The macros of log4cxx name its namespaces without their parent.
 namespace helpers = log4cxx::helpers;
 
-/** Hands log4cxx's lines to a LinePipe: its own appenders block while nobody reads. */
+/** Hands log4cxx's lines to a LineWriter: its own appenders block while nobody reads. */
 class PipeAppender final : public log4cxx::AppenderSkeleton
 {
 public:
@@ -76,7 +76,7 @@
         std::string line;
         log4cxx::helpers::Transcoder::encode(text, line);
         standardOutput().add(line);
-        if (standardOutput().pending() >= flushFrom) {
+        if (standardOutput().pending() >= flushThreshold) {
             standardOutput().flush();
         }
     }
@@ -119,7 +119,7 @@
     // Below half of the burst only what went wrong is written: that is what somebody will ask about.
     const double needed = severity == Severity::Info ? failureReserve_ : 1.0;
     if (!requestLines_.tryTakeAbove(1.0, needed, now)) {
-        ++requestLinesLeftOut_;
+        ++droppedRequestLines_;
         return;
     }
     write(severity, std::move(name), std::move(fields));
@@ -127,15 +127,15 @@
 
 void EventLog::flush()
 {
-    if (requestLinesLeftOut_ > 0) {
-        const std::string count = std::to_string(requestLinesLeftOut_);
-        requestLinesLeftOut_ = 0;
+    if (droppedRequestLines_ > 0) {
+        const std::string count = std::to_string(droppedRequestLines_);
+        droppedRequestLines_ = 0;
         write(Severity::Warning, "log_lines_left_out", {{"count", count}, {"reason", "bound-on-request-lines"}});
     }
-    const std::uint64_t lost = standardOutput().leftOut();
-    if (lost > pipeLinesLeftOut_ && standardOutput().pending() == 0) {
-        const std::string count = std::to_string(lost - pipeLinesLeftOut_);
-        pipeLinesLeftOut_ = lost;
+    const std::uint64_t lost = standardOutput().droppedLines();
+    if (lost > reportedDroppedLines_ && standardOutput().pending() == 0) {
+        const std::string count = std::to_string(lost - reportedDroppedLines_);
+        reportedDroppedLines_ = lost;
         write(Severity::Warning, "log_lines_left_out", {{"count", count}, {"reason", "output-not-read"}});
     }
     standardOutput().flush();
@@ -161,7 +161,7 @@
     }
 }
 
-std::vector<Event> EventLog::about(const std::string &subject) const
+std::vector<Event> EventLog::matching(const std::string &subject) const
 {
     std::vector<Event> found;
     for (const Event &event : events_) {
--- a/src/base/Ids.cpp
+++ b/src/base/Ids.cpp
@@ -41,14 +41,14 @@
     return {digits.data(), end.ptr};
 }
 
-bool isName(const std::string &text)
+bool isValidName(const std::string &text)
 {
-    constexpr std::size_t longest = 63;
+    constexpr std::size_t maxLength = 63;
     const auto allowed = [](char c) {
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_'
                || c == '.';
     };
-    return !text.empty() && text.size() <= longest && std::all_of(text.begin(), text.end(), allowed);
+    return !text.empty() && text.size() <= maxLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
 } // namespace waxwing
--- a/src/base/JsonReader.cpp
+++ b/src/base/JsonReader.cpp
@@ -58,7 +58,7 @@
     return text(key, {});
 }
 
-bool JsonReader::flag(const std::string &key, bool fallback)
+bool JsonReader::boolean(const std::string &key, bool fallback)
 {
     const nlohmann::json *found = field(key);
     if (found != nullptr && !found->is_boolean()) {
@@ -68,7 +68,7 @@
     return found == nullptr ? fallback : found->get<bool>();
 }
 
-std::int64_t JsonReader::integer(const std::string &key, std::int64_t fallback, std::int64_t least, std::int64_t most)
+std::int64_t JsonReader::integer(const std::string &key, std::int64_t fallback, std::int64_t min, std::int64_t max)
 {
     const nlohmann::json *found = field(key);
     if (found == nullptr) {
@@ -77,16 +77,16 @@
     const bool tooLarge =
         found->is_number_unsigned()
         && found->get<std::uint64_t>() > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-    if (!found->is_number_integer() || tooLarge || found->get<std::int64_t>() < least
-        || found->get<std::int64_t>() > most) {
+    if (!found->is_number_integer() || tooLarge || found->get<std::int64_t>() < min
+        || found->get<std::int64_t>() > max) {
         findings_.add(placeOf(key),
-                      "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+                      "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
         return fallback;
     }
     return found->get<std::int64_t>();
 }
 
-Millis JsonReader::duration(const std::string &key, Millis fallback, Millis least, Millis most)
+Millis JsonReader::duration(const std::string &key, Millis fallback, Millis min, Millis max)
 {
     const nlohmann::json *found = field(key);
     if (found == nullptr) {
@@ -98,20 +98,20 @@
         findings_.add(placeOf(key), parsed.error().message);
         return fallback;
     }
-    if (*parsed < least || *parsed > most) {
-        findings_.add(placeOf(key), "must be from " + durationText(least) + " to " + durationText(most));
+    if (*parsed < min || *parsed > max) {
+        findings_.add(placeOf(key), "must be from " + durationText(min) + " to " + durationText(max));
         return fallback;
     }
     return *parsed;
 }
 
-double JsonReader::share(const std::string &key, double fallback)
+double JsonReader::percentage(const std::string &key, double fallback)
 {
     const nlohmann::json *found = field(key);
     if (found == nullptr) {
         return fallback;
     }
-    const auto parsed = found->is_string() ? parseShare(found->get<std::string>())
+    const auto parsed = found->is_string() ? parsePercentage(found->get<std::string>())
                                            : fail(ErrorCode::Malformed, "must be a share such as \"99.9%\"");
     if (!parsed) {
         findings_.add(placeOf(key), parsed.error().message);
@@ -152,7 +152,7 @@
     }
 }
 
-Expected<double> parseShare(const std::string &text)
+Expected<double> parsePercentage(const std::string &text)
 {
     char *end = nullptr;
     const double percent = std::strtod(text.c_str(), &end);
--- a/src/base/LinePipe.cpp
+++ b/src/base/LinePipe.cpp
@@ -7,15 +7,15 @@
 
 namespace waxwing {
 
-LinePipe::LinePipe(Sink sink, std::size_t capacity)
+LineWriter::LineWriter(Sink sink, std::size_t capacity)
     : sink_(std::move(sink))
     , capacity_(capacity)
 { }
 
-bool LinePipe::add(const std::string &line)
+bool LineWriter::add(const std::string &line)
 {
     if (buffer_.size() + line.size() + 1 > capacity_) {
-        ++leftOut_;
+        ++droppedLines_;
         return false;
     }
     buffer_ += line;
@@ -23,7 +23,7 @@
     return true;
 }
 
-void LinePipe::flush()
+void LineWriter::flush()
 {
     std::size_t done = 0;
     while (done < buffer_.size()) {
@@ -36,17 +36,17 @@
     buffer_.erase(0, done);
 }
 
-std::uint64_t LinePipe::leftOut() const
+std::uint64_t LineWriter::droppedLines() const
 {
-    return leftOut_;
+    return droppedLines_;
 }
 
-std::size_t LinePipe::pending() const
+std::size_t LineWriter::pending() const
 {
     return buffer_.size();
 }
 
-LinePipe::Sink nonBlockingSink(int descriptor)
+LineWriter::Sink nonBlockingSink(int descriptor)
 {
     return [descriptor](const char *data, std::size_t size) -> std::size_t {
         pollfd ready{descriptor, POLLOUT, 0};
--- a/src/claim/ClaimTable.cpp
+++ b/src/claim/ClaimTable.cpp
@@ -17,34 +17,34 @@
 
 } // namespace
 
-const char *claimVerdictName(ClaimVerdict verdict)
+const char *claimDecisionName(ClaimDecision decision)
 {
-    switch (verdict) {
-    case ClaimVerdict::Start:
+    switch (decision) {
+    case ClaimDecision::Start:
         return "start";
-    case ClaimVerdict::Running:
+    case ClaimDecision::Running:
         return "running";
-    case ClaimVerdict::Replay:
+    case ClaimDecision::Replay:
         return "replay";
-    case ClaimVerdict::AnswerNotKept:
+    case ClaimDecision::ResponseNotStored:
         return "answer-not-kept";
-    case ClaimVerdict::InDoubt:
+    case ClaimDecision::OutcomeUnknown:
         return "in-doubt";
-    case ClaimVerdict::OtherRequest:
+    case ClaimDecision::OtherRequest:
         return "other-request";
-    case ClaimVerdict::Expired:
+    case ClaimDecision::Expired:
         return "ticket-expired";
-    case ClaimVerdict::Full:
+    case ClaimDecision::Full:
         return "claims-full";
-    case ClaimVerdict::Stopping:
+    case ClaimDecision::Stopping:
         return "stopping";
-    case ClaimVerdict::NotOwner:
+    case ClaimDecision::NotOwner:
         return "not-owner";
     }
     return "not-owner";
 }
 
-std::vector<ClaimHandover> partsOf(const ClaimHandover &whole, std::size_t bytes)
+std::vector<ClaimHandover> splitHandover(const ClaimHandover &whole, std::size_t bytes)
 {
     std::vector<ClaimHandover> parts(1);
     std::size_t filled = 0;
@@ -68,18 +68,18 @@
     , limits_(limits)
 { }
 
-ClaimVerdict ClaimTable::verdictOf(const Entry &entry, std::uint64_t digest) const
+ClaimDecision ClaimTable::decisionFor(const Entry &entry, std::uint64_t digest) const
 {
     if (entry.digest != digest) {
-        return ClaimVerdict::OtherRequest;
+        return ClaimDecision::OtherRequest;
     }
     if (entry.running) {
-        return ClaimVerdict::Running;
+        return ClaimDecision::Running;
     }
     if (entry.end.outcome == Outcome::Unknown) {
-        return ClaimVerdict::InDoubt;
+        return ClaimDecision::OutcomeUnknown;
     }
-    return entry.answerKept ? ClaimVerdict::Replay : ClaimVerdict::AnswerNotKept;
+    return entry.responseStored ? ClaimDecision::Replay : ClaimDecision::ResponseNotStored;
 }
 
 std::optional<Millis> ClaimTable::ageOf(const NodeRef &owner, Millis ownAge) const
@@ -94,51 +94,51 @@
     return found->second.age + std::chrono::duration_cast<Millis>(clock_.now() - found->second.at);
 }
 
-ClaimVerdict ClaimTable::begin(const Ticket &ticket, Millis ownAge, std::uint64_t requestDigest)
+ClaimDecision ClaimTable::begin(const Ticket &ticket, Millis ownAge, std::uint64_t requestDigest)
 {
     const std::string key = ticket.text();
     const auto found = entries_.find(key);
     if (found != entries_.end()) {
-        return verdictOf(found->second, requestDigest);
+        return decisionFor(found->second, requestDigest);
     }
     const std::optional<Millis> ownerAge = ageOf(ticket.owner, ownAge);
-    if (!ownerAge || ticket.mintedAt > *ownerAge) {
-        return ClaimVerdict::NotOwner;
+    if (!ownerAge || ticket.issuedAt > *ownerAge) {
+        return ClaimDecision::NotOwner;
     }
-    const Millis ticketAge = *ownerAge - ticket.mintedAt;
+    const Millis ticketAge = *ownerAge - ticket.issuedAt;
     if (ticketAge >= limits_.validity) {
         // Its entry may have been dropped already: starting it could run it a second time.
-        return ClaimVerdict::Expired;
+        return ClaimDecision::Expired;
     }
     if (stopping_) {
-        return ClaimVerdict::Stopping;
+        return ClaimDecision::Stopping;
     }
     if (entries_.size() >= limits_.entries) {
-        return ClaimVerdict::Full;
+        return ClaimDecision::Full;
     }
     Entry entry;
     entry.digest = requestDigest;
-    entry.dropAt = clock_.now() + (limits_.validity - ticketAge);
-    dropOrder_.emplace(entry.dropAt, key);
+    entry.expiresAt = clock_.now() + (limits_.validity - ticketAge);
+    expiryQueue_.emplace(entry.expiresAt, key);
     entries_.emplace(key, std::move(entry));
     ++running_;
-    return ClaimVerdict::Start;
+    return ClaimDecision::Start;
 }
 
-void ClaimTable::store(Entry &entry, ClaimEnd end)
+void ClaimTable::store(Entry &entry, ClaimResult end)
 {
     const std::size_t bytes = bytesOf(end.response);
     entry.running = false;
-    entry.answerKept = answerBytes_ + bytes <= limits_.answerBytes;
-    if (!entry.answerKept) {
+    entry.responseStored = responseBytes_ + bytes <= limits_.responseBytes;
+    if (!entry.responseStored) {
         end.response = HttpResponse{};
     } else {
-        answerBytes_ += bytes;
+        responseBytes_ += bytes;
     }
     entry.end = std::move(end);
 }
 
-void ClaimTable::finish(const Ticket &ticket, ClaimEnd end)
+void ClaimTable::finish(const Ticket &ticket, ClaimResult end)
 {
     const auto found = entries_.find(ticket.text());
     assert(found != entries_.end() && found->second.running);
@@ -153,7 +153,7 @@
     store(found->second, std::move(end));
 }
 
-const ClaimEnd *ClaimTable::endOf(const Ticket &ticket) const
+const ClaimResult *ClaimTable::resultOf(const Ticket &ticket) const
 {
     const auto found = entries_.find(ticket.text());
     return found == entries_.end() || found->second.running ? nullptr : &found->second.end;
@@ -183,7 +183,7 @@
         handover.owners.push_back(ClaimOwner{owner, ageOf(owner, ownAge).value_or(adopted.age)});
     }
     for (const auto &[key, entry] : entries_) {
-        const Outcome outcome = entry.answerKept ? entry.end.outcome : Outcome::Unknown;
+        const Outcome outcome = entry.responseStored ? entry.end.outcome : Outcome::Unknown;
         handover.claims.push_back(ClaimTransfer{key, entry.digest, outcome, entry.end.response});
     }
     return handover;
@@ -199,11 +199,11 @@
         // Held even above the limit of entries: a claim that were dropped here could be started again.
         Entry entry;
         entry.digest = claim.requestDigest;
-        entry.dropAt = now + limits_.validity;
+        entry.expiresAt = now + limits_.validity;
         const auto [place, isNew] = entries_.emplace(claim.ticket, std::move(entry));
         if (isNew) {
-            store(place->second, ClaimEnd{claim.outcome, claim.response});
-            dropOrder_.emplace(place->second.dropAt, claim.ticket);
+            store(place->second, ClaimResult{claim.outcome, claim.response});
+            expiryQueue_.emplace(place->second.expiresAt, claim.ticket);
         }
     }
 }
@@ -225,17 +225,17 @@
 void ClaimTable::expire()
 {
     const SteadyTime now = clock_.now();
-    while (!dropOrder_.empty() && dropOrder_.begin()->first <= now) {
-        const auto found = entries_.find(dropOrder_.begin()->second);
+    while (!expiryQueue_.empty() && expiryQueue_.begin()->first <= now) {
+        const auto found = entries_.find(expiryQueue_.begin()->second);
         const bool isRunning = found != entries_.end() && found->second.running;
         if (isRunning) {
             // Still running at its expiry: looked at again later, since finish() needs the entry.
-            dropOrder_.emplace(now + limits_.validity, found->first);
-        } else if (found != entries_.end() && found->second.dropAt <= now) {
-            answerBytes_ -= found->second.answerKept ? bytesOf(found->second.end.response) : 0;
+            expiryQueue_.emplace(now + limits_.validity, found->first);
+        } else if (found != entries_.end() && found->second.expiresAt <= now) {
+            responseBytes_ -= found->second.responseStored ? bytesOf(found->second.end.response) : 0;
             entries_.erase(found);
         }
-        dropOrder_.erase(dropOrder_.begin());
+        expiryQueue_.erase(expiryQueue_.begin());
     }
     for (auto it = adopted_.begin(); it != adopted_.end();) {
         const bool over = now - it->second.at >= limits_.validity;
--- a/src/claim/Ticket.cpp
+++ b/src/claim/Ticket.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view prefix = "wx1.";
-constexpr std::uint64_t longestAgeMs = 1000ULL * 3600 * 24 * 365 * 100;
+constexpr std::uint64_t maxAgeMs = 1000ULL * 3600 * 24 * 365 * 100;
 
 bool parseHex(std::string_view text, std::uint64_t &value)
 {
@@ -22,7 +22,7 @@
 std::string Ticket::text() const
 {
     return std::string(prefix) + owner.id + "." + hexText(owner.incarnation) + "."
-           + hexText(static_cast<std::uint64_t>(mintedAt.count())) + "." + hexText(sequence);
+           + hexText(static_cast<std::uint64_t>(issuedAt.count())) + "." + hexText(sequence);
 }
 
 bool Ticket::looksLikeTicket(const std::string &text)
@@ -47,26 +47,26 @@
     }
     Ticket ticket;
     ticket.owner = {std::string(rest), numbers[0]};
-    if (!isName(ticket.owner.id) || numbers[1] > longestAgeMs) {
+    if (!isValidName(ticket.owner.id) || numbers[1] > maxAgeMs) {
         return fail(ErrorCode::Malformed, "not a ticket: bad node name or age");
     }
-    ticket.mintedAt = Millis(static_cast<std::int64_t>(numbers[1]));
+    ticket.issuedAt = Millis(static_cast<std::int64_t>(numbers[1]));
     ticket.sequence = numbers[2];
     return ticket;
 }
 
-TicketMint::TicketMint(NodeRef self, const Clock &clock)
+TicketIssuer::TicketIssuer(NodeRef self, const Clock &clock)
     : self_(std::move(self))
     , clock_(clock)
     , startedAt_(clock.now())
 { }
 
-Ticket TicketMint::mint()
+Ticket TicketIssuer::issue()
 {
     return Ticket{self_, age(), next_++};
 }
 
-Millis TicketMint::age() const
+Millis TicketIssuer::age() const
 {
     return std::chrono::duration_cast<Millis>(clock_.now() - startedAt_);
 }
--- a/src/ctl/BurnPage.cpp
+++ b/src/ctl/BurnPage.cpp
@@ -22,8 +22,8 @@
 
 std::string verdict(const ClassBurn &one)
 {
-    const double longest = one.figures.back().burn;
-    const double shortest = one.figures.front().burn;
+    const double longest = one.rates.back().burn;
+    const double shortest = one.rates.front().burn;
     if (shortest > 10.0) {
         return "spending its budget fast: act now";
     }
@@ -70,15 +70,15 @@
         "class                            target   window  requests      good      late    failed   refused"
         "   unknown     burn\n";
     for (const ClassBurn &one : classes) {
-        for (const BurnFigure &figure : one.figures) {
+        for (const BurnRate &rate : one.rates) {
             std::array<char, 256> line{};
-            const BurnCounts &c = figure.counts;
+            const BurnCounts &c = rate.counts;
             std::snprintf(line.data(), line.size(), "%-30s %7.3f%%   %6s %9llu %9llu %9llu %9llu %9llu %9llu %8.2f\n",
-                          one.name.c_str(), one.successRate * 100.0, figure.label.c_str(),
+                          one.name.c_str(), one.successRate * 100.0, rate.label.c_str(),
                           static_cast<unsigned long long>(c.total()), static_cast<unsigned long long>(c.good),
                           static_cast<unsigned long long>(c.late), static_cast<unsigned long long>(c.failed),
                           static_cast<unsigned long long>(c.refused), static_cast<unsigned long long>(c.unknown),
-                          figure.burn);
+                          rate.burn);
             out += line.data();
         }
         out += "  " + one.name + " is " + verdict(one) + "\n";
@@ -91,16 +91,16 @@
     nlohmann::json out = nlohmann::json::array();
     for (const ClassBurn &one : classes) {
         nlohmann::json windows = nlohmann::json::array();
-        for (const BurnFigure &figure : one.figures) {
-            const BurnCounts &c = figure.counts;
-            windows.push_back({{"window", figure.label},
+        for (const BurnRate &rate : one.rates) {
+            const BurnCounts &c = rate.counts;
+            windows.push_back({{"window", rate.label},
                                {"requests", c.total()},
                                {"good", c.good},
                                {"late", c.late},
                                {"failed", c.failed},
                                {"refused", c.refused},
                                {"unknown", c.unknown},
-                               {"burn", figure.burn}});
+                               {"burn", rate.burn}});
         }
         out.push_back(
             {{"class", one.name}, {"target", one.successRate}, {"verdict", verdict(one)}, {"windows", windows}});
@@ -108,7 +108,7 @@
     return out.dump(2) + "\n";
 }
 
-std::string burnHtml(const std::vector<ClassBurn> &classes, const std::string &madeAt)
+std::string burnHtml(const std::vector<ClassBurn> &classes, const std::string &generatedAt)
 {
     std::string out =
         "<!doctype html><html lang='en'><meta charset='utf-8'><title>Service-level burn</title><style>"
@@ -116,7 +116,7 @@
         "table{border-collapse:collapse;width:100%}td,th{padding:.2rem .6rem;text-align:right;"
         "border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}"
         ".note{color:#666;font-size:85%}</style><h1>Service-level burn</h1><p>Made "
-        + madeAt
+        + generatedAt
         + ". A burn of 1 spends the allowed share of missed requests exactly; above 1 the target will be missed.</p>";
     for (const ClassBurn &one : classes) {
         out +=
@@ -124,12 +124,12 @@
             + verdict(one) + "</strong>.</p>" + plot(one)
             + "<table><tr><th>window</th><th>requests</th><th>late</th><th>failed</th><th>refused</th><th>unknown</th>"
               "<th>burn</th></tr>";
-        for (const BurnFigure &figure : one.figures) {
-            const BurnCounts &c = figure.counts;
-            out += "<tr><td>" + figure.label + "</td><td>" + std::to_string(c.total()) + "</td><td>"
+        for (const BurnRate &rate : one.rates) {
+            const BurnCounts &c = rate.counts;
+            out += "<tr><td>" + rate.label + "</td><td>" + std::to_string(c.total()) + "</td><td>"
                    + std::to_string(c.late) + "</td><td>" + std::to_string(c.failed) + "</td><td>"
                    + std::to_string(c.refused) + "</td><td>" + std::to_string(c.unknown) + "</td><td>"
-                   + formatted("%.2f", figure.burn) + "</td></tr>";
+                   + formatted("%.2f", rate.burn) + "</td></tr>";
         }
         out += "</table>";
     }
--- a/src/ctl/Commands.cpp
+++ b/src/ctl/Commands.cpp
@@ -23,9 +23,9 @@
 using nlohmann::json;
 
 const std::string serviceObjects = "service";
-constexpr Millis confirmPoll{50};
-constexpr Millis settlePoll{200};
-constexpr int settleTries = 10;
+constexpr Millis confirmInterval{50};
+constexpr Millis resolveInterval{200};
+constexpr int maxResolveAttempts = 10;
 
 std::string newOperation()
 {
@@ -34,7 +34,7 @@
 }
 
 /** What an operator wrote, without what the tool added. */
-json withoutOperation(json value)
+json withoutOperationId(json value)
 {
     if (value.is_object()) {
         value.erase("operation");
@@ -74,9 +74,9 @@
         {"check", &Commands::check},   {"apply", &Commands::apply},   {"diff", &Commands::diff},
         {"get", &Commands::read},      {"status", &Commands::status}, {"explain", &Commands::explain},
         {"report", &Commands::report}, {"remove", &Commands::remove}};
-    const auto command = options_.words.empty() ? commands.end() : commands.find(options_.words.front());
+    const auto command = options_.arguments.empty() ? commands.end() : commands.find(options_.arguments.front());
     if (command == commands.end()) {
-        std::cerr << "unknown command" << (options_.words.empty() ? "" : " " + options_.words.front())
+        std::cerr << "unknown command" << (options_.arguments.empty() ? "" : " " + options_.arguments.front())
                   << "; see waxwingctl --help\n";
         return CtlExit::Usage;
     }
@@ -113,13 +113,13 @@
 
 CtlExit Commands::check()
 {
-    if (options_.words.size() < 2) {
+    if (options_.arguments.size() < 2) {
         std::cerr << "check FILE...: files of intents, or settings of a node\n";
         return CtlExit::Usage;
     }
     CtlExit worst = CtlExit::Ok;
-    for (std::size_t i = 1; i < options_.words.size(); ++i) {
-        const std::string &path = options_.words[i];
+    for (std::size_t i = 1; i < options_.arguments.size(); ++i) {
+        const std::string &path = options_.arguments[i];
         std::ifstream stream(path);
         std::stringstream text;
         text << stream.rdbuf();
@@ -147,88 +147,90 @@
     return worst;
 }
 
-Commands::Applied Commands::settleUnknown(const std::string &service, const json &value, std::uint64_t base)
+Commands::ApplyResult Commands::resolveUnknownWrite(const std::string &service, const json &value, std::uint64_t base)
 {
     // The write may have taken effect although its answer was lost. It is found again by its operation id; it is
     // written again only on condition of the same base version, so it can't be there twice.
     const std::string operation = value.at("operation").get<std::string>();
-    for (int tried = 0; tried < settleTries; ++tried) {
-        sleepFor(ioContext_, settlePoll);
-        const auto standing = api_.read(serviceObjects, service);
-        if (!standing) {
+    for (int tried = 0; tried < maxResolveAttempts; ++tried) {
+        sleepFor(ioContext_, resolveInterval);
+        const auto stored = api_.read(serviceObjects, service);
+        if (!stored) {
             continue;
         }
-        const json now = *standing ? json::parse((*standing)->value, nullptr, false) : json();
-        const std::uint64_t version = *standing ? (*standing)->version : 0;
+        const json now = *stored ? json::parse((*stored)->value, nullptr, false) : json();
+        const std::uint64_t version = *stored ? (*stored)->version : 0;
         if (now.is_object() && now.value("operation", "") == operation) {
-            return Applied{service, "accepted", version, "found again by its operation id"};
+            return ApplyResult{service, "accepted", version, "found again by its operation id"};
         }
         if (version != base) {
-            return Applied{service, "conflict", version,
-                           "changed meanwhile:\n" + describeChange(withoutOperation(value), withoutOperation(now))};
+            return ApplyResult{service, "conflict", version,
+                               "changed meanwhile:\n"
+                                   + describeChange(withoutOperationId(value), withoutOperationId(now))};
         }
         const UpdateResult again = api_.update(serviceObjects, service, base, value.dump());
         if (again.kind == UpdateResult::Kind::Stored) {
-            return Applied{service, "accepted", again.version, ""};
+            return ApplyResult{service, "accepted", again.version, ""};
         }
     }
-    return Applied{service, "unknown", 0, "the object API gave no answer; run the same apply again"};
+    return ApplyResult{service, "unknown", 0, "the object API gave no answer; run the same apply again"};
 }
 
-Commands::Applied Commands::applyOne(const std::string &service, const IntentDocument &document)
+Commands::ApplyResult Commands::applyOne(const std::string &service, const IntentDocument &document)
 {
-    const auto standing = api_.read(serviceObjects, service);
-    if (!standing) {
-        return Applied{service, "unavailable", 0, standing.error().message};
+    const auto stored = api_.read(serviceObjects, service);
+    if (!stored) {
+        return ApplyResult{service, "unavailable", 0, stored.error().message};
     }
-    const std::uint64_t version = *standing ? (*standing)->version : 0;
-    const json before = *standing ? withoutOperation(json::parse((*standing)->value, nullptr, false)) : json();
+    const std::uint64_t version = *stored ? (*stored)->version : 0;
+    const json before = *stored ? withoutOperationId(json::parse((*stored)->value, nullptr, false)) : json();
     if (before == document.intents) {
-        return Applied{service, "unchanged", version, ""};
+        return ApplyResult{service, "unchanged", version, ""};
     }
     if (document.revision != 0 && document.revision != version) {
-        return Applied{service, "conflict", version,
-                       "your file starts from revision " + std::to_string(document.revision) + ", revision "
-                           + std::to_string(version) + " stands; yours -> standing:\n"
-                           + describeChange(document.intents, before)};
+        return ApplyResult{service, "conflict", version,
+                           "your file starts from revision " + std::to_string(document.revision) + ", revision "
+                               + std::to_string(version) + " stands; yours -> standing:\n"
+                               + describeChange(document.intents, before)};
     }
     json value = document.intents;
     value["operation"] = newOperation();
     const UpdateResult result = api_.update(serviceObjects, service, version, value.dump());
     switch (result.kind) {
     case UpdateResult::Kind::Stored:
-        return Applied{service, "accepted", result.version,
-                       describeChange(before.is_null() ? json::object() : before, document.intents)};
+        return ApplyResult{service, "accepted", result.version,
+                           describeChange(before.is_null() ? json::object() : before, document.intents)};
     case UpdateResult::Kind::Conflict: {
-        const json now = result.current ? withoutOperation(json::parse(result.current->value, nullptr, false)) : json();
-        return Applied{service, "conflict", result.current ? result.current->version : 0,
-                       "another operator was first; before -> standing:\n" + describeChange(before, now)};
+        const json now =
+            result.current ? withoutOperationId(json::parse(result.current->value, nullptr, false)) : json();
+        return ApplyResult{service, "conflict", result.current ? result.current->version : 0,
+                           "another operator was first; before -> standing:\n" + describeChange(before, now)};
     }
     case UpdateResult::Kind::NotStored:
-        return Applied{service, "unavailable", 0, result.message};
+        return ApplyResult{service, "unavailable", 0, result.message};
     case UpdateResult::Kind::Unknown:
-        return settleUnknown(service, value, version);
+        return resolveUnknownWrite(service, value, version);
     }
-    return Applied{service, "unknown", 0, ""};
+    return ApplyResult{service, "unknown", 0, ""};
 }
 
 CtlExit Commands::apply()
 {
-    if (options_.words.size() != 2) {
+    if (options_.arguments.size() != 2) {
         std::cerr << "apply FILE\n";
         return CtlExit::Usage;
     }
     IntentFile file;
-    const CtlExit loaded = loadFile(options_.words[1], file);
+    const CtlExit loaded = loadFile(options_.arguments[1], file);
     if (loaded != CtlExit::Ok) {
         return loaded;
     }
-    std::vector<Applied> applied;
+    std::vector<ApplyResult> applied;
     CtlExit exit = CtlExit::Ok;
     json out = {{"services", json::array()}};
     for (const auto &[service, document] : file) {
         applied.push_back(applyOne(service, document));
-        const Applied &one = applied.back();
+        const ApplyResult &one = applied.back();
         out["services"].push_back(
             {{"service", one.service}, {"result", one.result}, {"revision", one.revision}, {"detail", one.detail}});
         if (!options_.json) {
@@ -250,7 +252,7 @@
     return exit;
 }
 
-CtlExit Commands::waitForAll(const std::vector<Applied> &applied, json &out)
+CtlExit Commands::waitForAll(const std::vector<ApplyResult> &applied, json &out)
 {
     FleetClient fleet(client_, options_.node);
     const auto started = std::chrono::steady_clock::now();
@@ -266,7 +268,7 @@
                 continue;
             }
             const auto config = fleet.view(member.operators, "/v1/config");
-            for (const Applied &one : applied) {
+            for (const ApplyResult &one : applied) {
                 const json entry = config ? config->value(one.service, json::object()) : json::object();
                 if (!config || entry.value("revision", std::uint64_t(0)) < one.revision) {
                     missing.insert(member.node + (member.state == "down" ? " (down)" : ""));
@@ -284,7 +286,7 @@
         if (took >= options_.timeout) {
             break;
         }
-        sleepFor(ioContext_, confirmPoll);
+        sleepFor(ioContext_, confirmInterval);
     }
     out["notConfirmed"] = missing;
     if (!options_.json) {
@@ -299,22 +301,22 @@
 
 CtlExit Commands::diff()
 {
-    if (options_.words.size() != 2) {
+    if (options_.arguments.size() != 2) {
         std::cerr << "diff FILE\n";
         return CtlExit::Usage;
     }
     IntentFile file;
-    const CtlExit loaded = loadFile(options_.words[1], file);
+    const CtlExit loaded = loadFile(options_.arguments[1], file);
     if (loaded != CtlExit::Ok) {
         return loaded;
     }
     for (const auto &[service, document] : file) {
-        const auto standing = api_.read(serviceObjects, service);
-        if (!standing) {
-            return unavailable(standing.error());
+        const auto stored = api_.read(serviceObjects, service);
+        if (!stored) {
+            return unavailable(stored.error());
         }
         const json before =
-            *standing ? withoutOperation(json::parse((*standing)->value, nullptr, false)) : json::object();
+            *stored ? withoutOperationId(json::parse((*stored)->value, nullptr, false)) : json::object();
         std::cout << service << ":\n" << describeChange(before, document.intents);
     }
     return CtlExit::Ok;
@@ -328,10 +330,10 @@
     }
     json services = json::object();
     for (const StoredObject &object : all->objects) {
-        if (options_.words.size() > 1 && options_.words[1] != object.name) {
+        if (options_.arguments.size() > 1 && options_.arguments[1] != object.name) {
             continue;
         }
-        json value = withoutOperation(json::parse(object.value, nullptr, false));
+        json value = withoutOperationId(json::parse(object.value, nullptr, false));
         if (value.is_object()) {
             value["revision"] = object.version;
         }
@@ -343,31 +345,31 @@
 
 CtlExit Commands::remove()
 {
-    if (options_.words.size() != 2) {
+    if (options_.arguments.size() != 2) {
         std::cerr << "remove SERVICE\n";
         return CtlExit::Usage;
     }
-    const auto standing = api_.read(serviceObjects, options_.words[1]);
-    if (!standing) {
-        return unavailable(standing.error());
+    const auto stored = api_.read(serviceObjects, options_.arguments[1]);
+    if (!stored) {
+        return unavailable(stored.error());
     }
-    if (!*standing) {
-        std::cerr << "no service " << options_.words[1] << "\n";
+    if (!*stored) {
+        std::cerr << "no service " << options_.arguments[1] << "\n";
         return CtlExit::Conflict;
     }
-    const UpdateResult result = api_.remove(serviceObjects, options_.words[1], (*standing)->version);
+    const UpdateResult result = api_.remove(serviceObjects, options_.arguments[1], (*stored)->version);
     if (result.kind == UpdateResult::Kind::Stored) {
-        std::cout << options_.words[1] << ": removed (revision " << result.version << ")\n";
+        std::cout << options_.arguments[1] << ": removed (revision " << result.version << ")\n";
         return CtlExit::Ok;
     }
-    std::cerr << options_.words[1] << ": not removed: " << result.message << "\n";
+    std::cerr << options_.arguments[1] << ": not removed: " << result.message << "\n";
     return result.kind == UpdateResult::Kind::Conflict ? CtlExit::Conflict : CtlExit::Unavailable;
 }
 
 CtlExit Commands::status()
 {
     FleetClient fleet(client_, options_.node);
-    const auto views = fleet.viewOfAll("/v1/status");
+    const auto views = fleet.viewAll("/v1/status");
     if (!views) {
         return unavailable(views.error());
     }
@@ -396,12 +398,12 @@
 
 CtlExit Commands::explain()
 {
-    if (options_.words.size() != 2) {
+    if (options_.arguments.size() != 2) {
         std::cerr << "explain SUBJECT: a server, node, service, key or reason\n";
         return CtlExit::Usage;
     }
     FleetClient fleet(client_, options_.node);
-    const auto views = fleet.viewOfAll("/v1/explain?subject=" + options_.words[1]);
+    const auto views = fleet.viewAll("/v1/explain?subject=" + options_.arguments[1]);
     if (!views) {
         return unavailable(views.error());
     }
@@ -420,7 +422,7 @@
         }
     }
     if (lines.empty()) {
-        std::cout << "no event names " << options_.words[1] << "\n";
+        std::cout << "no event names " << options_.arguments[1] << "\n";
     }
     for (const auto &[at, line] : lines) {
         std::cout << at << " " << line << "\n";
@@ -430,12 +432,12 @@
 
 CtlExit Commands::report()
 {
-    if (options_.words.size() != 2 || options_.words[1] != "burn") {
+    if (options_.arguments.size() != 2 || options_.arguments[1] != "burn") {
         std::cerr << "report burn [--html FILE]\n";
         return CtlExit::Usage;
     }
     FleetClient fleet(client_, options_.node);
-    const auto views = fleet.viewOfAll("/v1/burn");
+    const auto views = fleet.viewAll("/v1/burn");
     if (!views) {
         return unavailable(views.error());
     }
@@ -467,7 +469,7 @@
         for (const auto &[ms, counts] : slices) {
             one.slices.push_back(BurnSlice{WallTime(Millis(ms)), counts});
         }
-        one.figures = burnFigures(one.slices, one.successRate, std::chrono::system_clock::now());
+        one.rates = burnRates(one.slices, one.successRate, std::chrono::system_clock::now());
         classes.push_back(std::move(one));
     }
     if (!options_.html.empty()) {
--- a/src/ctl/Commands.h
+++ b/src/ctl/Commands.h
@@ -25,7 +25,7 @@
 
 /** What was asked for on the command line. */
 struct CtlOptions {
-    std::vector<std::string> words;
+    std::vector<std::string> arguments;
     Endpoint objectApi;
     Endpoint node;
     bool json = false;
@@ -43,7 +43,7 @@
 
 private:
     /** One service's write, as far as it got. */
-    struct Applied {
+    struct ApplyResult {
         std::string service;
         std::string result;
         std::uint64_t revision = 0;
@@ -60,9 +60,9 @@
     CtlExit remove();
 
     CtlExit loadFile(const std::string &path, IntentFile &file);
-    Applied applyOne(const std::string &service, const IntentDocument &document);
-    Applied settleUnknown(const std::string &service, const nlohmann::json &value, std::uint64_t base);
-    CtlExit waitForAll(const std::vector<Applied> &applied, nlohmann::json &out);
+    ApplyResult applyOne(const std::string &service, const IntentDocument &document);
+    ApplyResult resolveUnknownWrite(const std::string &service, const nlohmann::json &value, std::uint64_t base);
+    CtlExit waitForAll(const std::vector<ApplyResult> &applied, nlohmann::json &out);
     CtlExit unavailable(const Error &error);
 
     boost::asio::io_context &ioContext_;
--- a/src/ctl/FleetClient.cpp
+++ b/src/ctl/FleetClient.cpp
@@ -46,7 +46,7 @@
     return members;
 }
 
-Expected<std::map<std::string, nlohmann::json>> FleetClient::viewOfAll(const std::string &target)
+Expected<std::map<std::string, nlohmann::json>> FleetClient::viewAll(const std::string &target)
 {
     const Expected<std::vector<FleetMember>> all = members();
     if (!all) {
--- a/src/ctl/FleetClient.h
+++ b/src/ctl/FleetClient.h
@@ -27,7 +27,7 @@
     /** A view of one node, such as "/v1/status". Errors: Unavailable, Malformed. */
     Expected<nlohmann::json> view(const Endpoint &operators, const std::string &target);
     /** The same view of every node that is up, by node name; nodes that don't answer are left out. */
-    Expected<std::map<std::string, nlohmann::json>> viewOfAll(const std::string &target);
+    Expected<std::map<std::string, nlohmann::json>> viewAll(const std::string &target);
 
 private:
     HttpClient &client_;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -72,7 +72,7 @@
         std::cout << usage << options;
         return values.count("help") != 0 ? 0 : static_cast<int>(CtlExit::Usage);
     }
-    parsed.words = values["words"].as<std::vector<std::string>>();
+    parsed.arguments = values["words"].as<std::vector<std::string>>();
     parsed.json = values.count("json") != 0;
     parsed.wait = values.count("wait") != 0;
     parsed.html = values["html"].as<std::string>();
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -52,11 +52,11 @@
 }
 
 /** The settings file may change without a signal. */
-constexpr Millis settingsPoll{1000};
+constexpr Millis settingsPollInterval{1000};
 /** A process that is killed loses at most the log lines of this time. */
-constexpr Millis logFlushEvery{200};
+constexpr Millis logFlushInterval{200};
 
-std::string contentOf(const std::string &path)
+std::string readFile(const std::string &path)
 {
     std::ifstream file(path);
     std::stringstream text;
@@ -73,24 +73,24 @@
         : ioContext_(ioContext)
         , node_(node)
         , path_(std::move(path))
-        , seen_(contentOf(path_))
+        , lastContent_(readFile(path_))
     { }
 
     void poll()
     {
         while (true) {
-            sleepFor(ioContext_, settingsPoll);
+            sleepFor(ioContext_, settingsPollInterval);
             reloadIfChanged();
         }
     }
 
     void reloadIfChanged()
     {
-        std::string content = contentOf(path_);
-        if (content == seen_) {
+        std::string content = readFile(path_);
+        if (content == lastContent_) {
             return;
         }
-        seen_ = std::move(content);
+        lastContent_ = std::move(content);
         if (const std::optional<NodeSettings> changed = readSettings(path_)) {
             node_.reload(*changed);
         }
@@ -100,7 +100,7 @@
     boost::asio::io_context &ioContext_;
     AnyNode &node_;
     std::string path_;
-    std::string seen_;
+    std::string lastContent_;
 };
 
 template<typename AnyNode>
@@ -117,7 +117,7 @@
     }
     spawnFiber([&node, &ioContext] {
         while (true) {
-            sleepFor(ioContext, logFlushEvery);
+            sleepFor(ioContext, logFlushInterval);
             (*node)->flushLog();
         }
     });
--- a/src/fiber/FiberLoop.cpp
+++ b/src/fiber/FiberLoop.cpp
@@ -99,29 +99,29 @@
     await([&](auto handler) { timer.async_wait(std::move(handler)); });
 }
 
-void FiberGate::wait()
+void FiberLatch::wait()
 {
-    if (open_) {
+    if (released_) {
         return;
     }
     waiter_ = boost::fibers::context::active();
     waiter_->suspend();
 }
 
-void FiberGate::open()
+void FiberLatch::release()
 {
-    if (open_) {
+    if (released_) {
         return;
     }
-    open_ = true;
+    released_ = true;
     if (waiter_ != nullptr) {
         boost::fibers::context::active()->schedule(waiter_);
     }
 }
 
-bool FiberGate::isOpen() const
+bool FiberLatch::isReleased() const
 {
-    return open_;
+    return released_;
 }
 
 } // namespace waxwing
--- a/src/fiber/FiberLoop.h
+++ b/src/fiber/FiberLoop.h
@@ -34,17 +34,17 @@
 void sleepFor(boost::asio::io_context &ioContext, Duration length);
 
 /** Wakes one waiting fiber once. Needs no lock: waiter and waker share the loop's thread. */
-class FiberGate
+class FiberLatch
 {
 public:
-    /** Suspends until open() was called; returns at once if it already was. @pre at most one waiter. */
+    /** Suspends until release() was called; returns at once if it already was. @pre at most one waiter. */
     void wait();
     /** Lets the waiter go on. Repeated calls do nothing. */
-    void open();
-    bool isOpen() const;
+    void release();
+    bool isReleased() const;
 
 private:
-    bool open_ = false;
+    bool released_ = false;
     boost::fibers::context *waiter_ = nullptr;
 };
 
@@ -55,7 +55,7 @@
 template<typename Start>
 IoResult await(Start start)
 {
-    FiberGate gate;
+    FiberLatch latch;
     IoResult result;
     start([&](boost::system::error_code error, auto... rest) {
         result.error = error;
@@ -64,9 +64,9 @@
                 ((result.bytes = rest), ...);
             }
         }
-        gate.open();
+        latch.release();
     });
-    gate.wait();
+    latch.wait();
     return result;
 }
 
--- a/src/fiber/WaitPoint.h
+++ b/src/fiber/WaitPoint.h
@@ -7,37 +7,37 @@
 namespace waxwing {
 
 /**
- * Where one fiber waits for the next of many events, or for a time. Unlike a FiberGate it can be waited at again; an
+ * Where one fiber waits for the next of many events, or for a time. Unlike a FiberLatch it can be waited at again; an
  * event between two waits is not lost. Not thread safe.
  */
-class WaitPoint
+class FiberNotifier
 {
 public:
-    /** Returns at the next wake(), or when @p allowed has passed. @pre called from a fiber; one waiter at a time. */
-    void wait(boost::asio::io_context &ioContext, Duration allowed)
+    /** Returns at the next notify(), or when @p timeout has passed. @pre called from a fiber; one waiter at a time. */
+    void wait(boost::asio::io_context &ioContext, Duration timeout)
     {
-        if (!woken_ && allowed > Duration(0)) {
-            const auto gate = std::make_shared<FiberGate>();
-            gate_ = gate;
-            boost::asio::steady_timer timer(ioContext, allowed);
-            timer.async_wait([gate](boost::system::error_code) { gate->open(); });
-            gate->wait();
-            gate_.reset();
+        if (!notified_ && timeout > Duration(0)) {
+            const auto latch = std::make_shared<FiberLatch>();
+            latch_ = latch;
+            boost::asio::steady_timer timer(ioContext, timeout);
+            timer.async_wait([latch](boost::system::error_code) { latch->release(); });
+            latch->wait();
+            latch_.reset();
         }
-        woken_ = false;
+        notified_ = false;
     }
 
-    void wake()
+    void notify()
     {
-        woken_ = true;
-        if (gate_) {
-            gate_->open();
+        notified_ = true;
+        if (latch_) {
+            latch_->release();
         }
     }
 
 private:
-    std::shared_ptr<FiberGate> gate_;
-    bool woken_ = false;
+    std::shared_ptr<FiberLatch> latch_;
+    bool notified_ = false;
 };
 
 } // namespace waxwing
--- a/src/fleet/FleetConfig.cpp
+++ b/src/fleet/FleetConfig.cpp
@@ -25,16 +25,16 @@
 
 void FleetConfig::addRoute(Route route)
 {
-    auto &prefixes = hosts_[hostKey(route.host)];
+    auto &prefixes = routesByHost_[hostKey(route.host)];
     const std::string prefix = route.prefix;
-    routes_ += prefixes.count(prefix) == 0 ? 1 : 0;
+    routeCount_ += prefixes.count(prefix) == 0 ? 1 : 0;
     prefixes[prefix] = std::move(route);
 }
 
 const Route *FleetConfig::routeFor(std::string_view host, std::string_view target) const
 {
-    const auto found = hosts_.find(hostKey(host));
-    if (found == hosts_.end()) {
+    const auto found = routesByHost_.find(hostKey(host));
+    if (found == routesByHost_.end()) {
         return nullptr;
     }
     std::string_view path = target.substr(0, target.find('?'));
@@ -53,7 +53,7 @@
 
 std::size_t FleetConfig::routeCount() const
 {
-    return routes_;
+    return routeCount_;
 }
 
 } // namespace waxwing
--- a/src/fleet/Freshness.cpp
+++ b/src/fleet/Freshness.cpp
@@ -8,40 +8,40 @@
     : tuning_(tuning)
 { }
 
-void Freshness::confirm(SteadyTime asOf)
+void Freshness::confirm(SteadyTime confirmedAt)
 {
-    asOf_ = asOf_ ? std::max(*asOf_, asOf) : asOf;
+    confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, confirmedAt) : confirmedAt;
 }
 
-void Freshness::fail(SteadyTime began, SteadyTime ended)
+void Freshness::noteFailure(SteadyTime began, SteadyTime ended)
 {
-    failureBegan_ = began;
-    failureEnded_ = ended;
+    failureStartedAt_ = began;
+    failureEndedAt_ = ended;
 }
 
 std::optional<Duration> Freshness::age(SteadyTime now) const
 {
-    return asOf_ ? std::optional<Duration>(now - *asOf_) : std::nullopt;
+    return confirmedAt_ ? std::optional<Duration>(now - *confirmedAt_) : std::nullopt;
 }
 
 bool Freshness::isOlderThan(Duration limit, SteadyTime now) const
 {
-    return !asOf_ || now - *asOf_ > limit;
+    return !confirmedAt_ || now - *confirmedAt_ > limit;
 }
 
 bool Freshness::hasFailedSince(SteadyTime when) const
 {
-    return failureBegan_ && *failureBegan_ > when && (!asOf_ || *asOf_ < *failureBegan_);
+    return failureStartedAt_ && *failureStartedAt_ > when && (!confirmedAt_ || *confirmedAt_ < *failureStartedAt_);
 }
 
 bool Freshness::mayServeCallers(SteadyTime now, bool servesNow) const
 {
-    const Duration limit = servesNow ? tuning_.mostAge : tuning_.mostAgeToStart;
+    const Duration limit = servesNow ? tuning_.maxAge : tuning_.maxAgeToStart;
     if (!isOlderThan(limit, now)) {
         return true;
     }
-    const bool lastFailed = failureBegan_ && (!asOf_ || *asOf_ < *failureBegan_);
-    return lastFailed && now - failureEnded_ <= tuning_.failureCounts;
+    const bool lastFailed = failureStartedAt_ && (!confirmedAt_ || *confirmedAt_ < *failureStartedAt_);
+    return lastFailed && now - failureEndedAt_ <= tuning_.failureValidFor;
 }
 
 } // namespace waxwing
--- a/src/fleet/PartPicker.cpp
+++ b/src/fleet/PartPicker.cpp
@@ -2,26 +2,26 @@
 
 namespace waxwing {
 
-const std::string &PartPicker::pick(const Route &route)
+const std::string &WeightedRoundRobin::pick(const Route &route)
 {
-    if (route.parts.size() == 1) {
-        return route.parts.front().service;
+    if (route.services.size() == 1) {
+        return route.services.front().service;
     }
     std::map<std::string, std::int64_t> &credits = credits_[route.name];
     std::int64_t total = 0;
-    const RoutePart *best = nullptr;
-    for (const RoutePart &part : route.parts) {
-        total += part.weight;
-        credits[part.service] += part.weight;
-        if (best == nullptr || credits[part.service] > credits[best->service]) {
-            best = &part;
+    const WeightedService *best = nullptr;
+    for (const WeightedService &weighted : route.services) {
+        total += weighted.weight;
+        credits[weighted.service] += weighted.weight;
+        if (best == nullptr || credits[weighted.service] > credits[best->service]) {
+            best = &weighted;
         }
     }
     credits[best->service] -= total;
     return best->service;
 }
 
-void PartPicker::clear()
+void WeightedRoundRobin::clear()
 {
     credits_.clear();
 }
--- a/src/fleet/Roster.cpp
+++ b/src/fleet/Roster.cpp
@@ -5,27 +5,27 @@
 
 namespace waxwing {
 
-bool Roster::putWritten(const RosterEntry &entry)
+bool NodeRegistry::putOwn(const RegistryEntry &entry)
 {
     const auto found = entries_.find(entry.id);
     const bool older = found != entries_.end() && found->second->revision >= entry.revision;
     if (older) {
         return false;
     }
-    entries_[entry.id] = std::make_shared<const RosterEntry>(entry);
+    entries_[entry.id] = std::make_shared<const RegistryEntry>(entry);
     return true;
 }
 
-bool Roster::put(const RosterEntry &entry)
+bool NodeRegistry::put(const RegistryEntry &entry)
 {
-    const bool taken = putWritten(entry);
+    const bool taken = putOwn(entry);
     if (taken) {
         advance(entry.revision);
     }
     return taken;
 }
 
-bool Roster::remove(const std::string &id, std::uint64_t revision)
+bool NodeRegistry::remove(const std::string &id, std::uint64_t revision)
 {
     const auto found = entries_.find(id);
     if (found == entries_.end() || found->second->revision > revision) {
@@ -36,35 +36,35 @@
     return true;
 }
 
-bool Roster::replace(const std::vector<RosterEntry> &entries, std::uint64_t asOf)
+bool NodeRegistry::replace(const std::vector<RegistryEntry> &entries, std::uint64_t revision)
 {
-    if (asOf < asOf_) {
+    if (revision < revision_) {
         return false;
     }
     for (auto entry = entries_.begin(); entry != entries_.end();) {
-        entry = entry->second->revision > asOf ? std::next(entry) : entries_.erase(entry);
+        entry = entry->second->revision > revision ? std::next(entry) : entries_.erase(entry);
     }
-    for (const RosterEntry &entry : entries) {
-        putWritten(entry);
+    for (const RegistryEntry &entry : entries) {
+        putOwn(entry);
     }
-    asOf_ = asOf;
+    revision_ = revision;
     return true;
 }
 
-void Roster::advance(std::uint64_t asOf)
+void NodeRegistry::advance(std::uint64_t revision)
 {
-    asOf_ = std::max(asOf_, asOf);
+    revision_ = std::max(revision_, revision);
 }
 
-RosterEntryPtr Roster::find(const std::string &id) const
+RegistryEntryPtr NodeRegistry::find(const std::string &id) const
 {
     const auto found = entries_.find(id);
     return found == entries_.end() ? nullptr : found->second;
 }
 
-std::vector<RosterEntryPtr> Roster::homesOf(const std::string &service) const
+std::vector<RegistryEntryPtr> NodeRegistry::homesOf(const std::string &service) const
 {
-    std::vector<RosterEntryPtr> homes;
+    std::vector<RegistryEntryPtr> homes;
     for (const auto &[id, entry] : entries_) {
         if (entry->service == service) {
             homes.push_back(entry);
@@ -73,21 +73,21 @@
     return homes;
 }
 
-std::vector<RosterEntryPtr> Roster::all() const
+std::vector<RegistryEntryPtr> NodeRegistry::all() const
 {
-    std::vector<RosterEntryPtr> out;
+    std::vector<RegistryEntryPtr> out;
     for (const auto &[id, entry] : entries_) {
         out.push_back(entry);
     }
     return out;
 }
 
-std::uint64_t Roster::asOf() const
+std::uint64_t NodeRegistry::revision() const
 {
-    return asOf_;
+    return revision_;
 }
 
-std::size_t Roster::size() const
+std::size_t NodeRegistry::size() const
 {
     return entries_.size();
 }
--- a/src/fleet/RoundTrip.cpp
+++ b/src/fleet/RoundTrip.cpp
@@ -7,40 +7,40 @@
 namespace {
 
 /** Weights of the newest sample, and of the deviation in the timeout: RFC 6298. */
-constexpr int smoothingPart = 8;
-constexpr int deviationPart = 4;
-constexpr int deviations = 4;
-constexpr int mostFalseAlarms = 3;
+constexpr int smoothingDivisor = 8;
+constexpr int deviationDivisor = 4;
+constexpr int deviationFactor = 4;
+constexpr int maxSpuriousTimeouts = 3;
 /** A cut must be found well within the time that a caller has. */
-constexpr Duration longest = std::chrono::milliseconds(1500);
+constexpr Duration maxTimeout = std::chrono::milliseconds(1500);
 /** What a cut held up for seconds says little about the path once it is whole again. */
-constexpr Duration longestSample = std::chrono::milliseconds(600);
+constexpr Duration maxSample = std::chrono::milliseconds(600);
 
 } // namespace
 
-void RoundTrip::add(Duration sample)
+void RttEstimator::add(Duration sample)
 {
-    sample = std::min(sample, longestSample);
+    sample = std::min(sample, maxSample);
     if (smoothed_ == Duration(0)) {
         smoothed_ = sample;
         deviation_ = sample / 2;
     } else {
         const Duration off = sample > smoothed_ ? sample - smoothed_ : smoothed_ - sample;
-        deviation_ += (off - deviation_) / deviationPart;
-        smoothed_ += (sample - smoothed_) / smoothingPart;
+        deviation_ += (off - deviation_) / deviationDivisor;
+        smoothed_ += (sample - smoothed_) / smoothingDivisor;
     }
-    falseAlarms_ = 0;
+    spuriousTimeouts_ = 0;
 }
 
-void RoundTrip::noteFalseAlarm()
+void RttEstimator::noteSpuriousTimeout()
 {
-    falseAlarms_ = std::min(mostFalseAlarms, falseAlarms_ + 1);
+    spuriousTimeouts_ = std::min(maxSpuriousTimeouts, spuriousTimeouts_ + 1);
 }
 
-Duration RoundTrip::timeout(Duration least) const
+Duration RttEstimator::timeout(Duration least) const
 {
-    const Duration usual = std::max(least, smoothed_ + deviations * deviation_);
-    return std::max(least, std::min(longest, usual * (1 << falseAlarms_)));
+    const Duration usual = std::max(least, smoothed_ + deviationFactor * deviation_);
+    return std::max(least, std::min(maxTimeout, usual * (1 << spuriousTimeouts_)));
 }
 
 } // namespace waxwing
--- a/src/fleet/TransitMeter.cpp
+++ b/src/fleet/TransitMeter.cpp
@@ -4,11 +4,11 @@
 
 namespace waxwing {
 
-Millis TransitMeter::lateness(Duration ageHere, Duration ageThere)
+Millis LinkDelayEstimator::excessDelay(Duration ageHere, Duration ageThere)
 {
     const Duration underWay = std::max(Duration(0), ageHere - ageThere);
-    shortest_ = std::min(shortest_, underWay);
-    return std::chrono::duration_cast<Millis>(underWay - shortest_);
+    baseDelay_ = std::min(baseDelay_, underWay);
+    return std::chrono::duration_cast<Millis>(underWay - baseDelay_);
 }
 
 } // namespace waxwing
--- a/src/floor/HomeFloor.cpp
+++ b/src/floor/HomeFloor.cpp
@@ -10,30 +10,30 @@
 namespace {
 
 /** Lost servers count towards a floor given as a share for this long, so that deaths are not followed by ejections. */
-constexpr Millis capacityMemory = std::chrono::minutes(15);
+constexpr Millis capacityRetention = std::chrono::minutes(15);
 
 } // namespace
 
-const Pledge *PledgeSheet::find(const NodeRef &home) const
+const Pledge *PledgeTable::find(const NodeRef &home) const
 {
     const auto found =
         std::find_if(pledges.begin(), pledges.end(), [&](const Pledge &one) { return one.home == home; });
     return found == pledges.end() ? nullptr : &*found;
 }
 
-void PledgeSheet::set(const Pledge &pledge)
+void PledgeTable::set(const Pledge &pledge)
 {
     erase(pledge.home);
     pledges.push_back(pledge);
 }
 
-void PledgeSheet::erase(const NodeRef &home)
+void PledgeTable::erase(const NodeRef &home)
 {
     pledges.erase(std::remove_if(pledges.begin(), pledges.end(), [&](const Pledge &one) { return one.home == home; }),
                   pledges.end());
 }
 
-std::string PledgeSheet::json() const
+std::string PledgeTable::json() const
 {
     nlohmann::json list = nlohmann::json::array();
     for (const Pledge &one : pledges) {
@@ -45,28 +45,28 @@
     return nlohmann::json{{"pledges", list}}.dump();
 }
 
-Expected<PledgeSheet> PledgeSheet::parse(std::uint64_t version, const std::string &text)
+Expected<PledgeTable> PledgeTable::parse(std::uint64_t version, const std::string &text)
 {
     try {
-        PledgeSheet sheet;
-        sheet.version = version;
+        PledgeTable table;
+        table.version = version;
         const nlohmann::json document = nlohmann::json::parse(text);
         for (const nlohmann::json &one : document.at("pledges")) {
-            sheet.pledges.push_back(
+            table.pledges.push_back(
                 Pledge{{one.at("home").get<std::string>(), one.at("incarnation").get<std::uint64_t>()},
                        one.at("pledge").get<std::uint32_t>(),
                        one.at("capacity").get<std::uint32_t>()});
         }
-        return sheet;
+        return table;
     } catch (const nlohmann::json::exception &error) {
         return fail(ErrorCode::Malformed, std::string("pledge sheet: ") + error.what());
     }
 }
 
-std::uint32_t requiredServers(const CapacityFloor &floor, const PledgeSheet &sheet)
+std::uint32_t requiredServers(const CapacityFloor &floor, const PledgeTable &table)
 {
     std::uint32_t capacity = 0;
-    for (const Pledge &one : sheet.pledges) {
+    for (const Pledge &one : table.pledges) {
         capacity += one.capacity;
     }
     const auto byShare = static_cast<std::uint32_t>(std::ceil(floor.share * capacity - 1e-9));
@@ -86,16 +86,16 @@
 void HomeFloor::setCapacity(std::uint32_t announced, std::uint32_t inService, SteadyTime now)
 {
     inService_ = inService;
-    if (announced >= capacity_ || now - capacitySince_ >= capacityMemory) {
+    if (announced >= capacity_ || now - capacitySince_ >= capacityRetention) {
         capacity_ = announced;
         capacitySince_ = now;
     }
 }
 
-std::uint32_t HomeFloor::coveredByOthers(const PledgeSheet &sheet) const
+std::uint32_t HomeFloor::coveredByOthers(const PledgeTable &table) const
 {
     std::uint32_t covered = 0;
-    for (const Pledge &one : sheet.pledges) {
+    for (const Pledge &one : table.pledges) {
         if (one.home == self_) {
             continue;
         }
@@ -107,9 +107,9 @@
 
 std::uint32_t HomeFloor::mustKeep() const
 {
-    const std::uint32_t required = requiredServers(floor_, sheet_);
-    const std::uint32_t covered = coveredByOthers(sheet_);
-    return std::max(believed_, required > covered ? required - covered : 0);
+    const std::uint32_t required = requiredServers(floor_, table_);
+    const std::uint32_t covered = coveredByOthers(table_);
+    return std::max(assumedPledge_, required > covered ? required - covered : 0);
 }
 
 bool HomeFloor::mayEject() const
@@ -117,20 +117,20 @@
     return registered_ && inService_ >= 1 && inService_ - 1 >= mustKeep();
 }
 
-void HomeFloor::noteBlocked()
+void HomeFloor::noteEjectionBlocked()
 {
     blocked_ = true;
 }
 
-bool HomeFloor::needsSheet(const std::vector<NodeRef> &homes) const
+bool HomeFloor::needsRefresh(const std::vector<NodeRef> &homes) const
 {
     const bool knowsAll = std::all_of(homes.begin(), homes.end(), [this](const NodeRef &home) {
-        return home == self_ || sheet_.find(home) != nullptr;
+        return home == self_ || table_.find(home) != nullptr;
     });
     return blocked_ || !knowsAll;
 }
 
-void HomeFloor::learn(PledgeSheet current)
+void HomeFloor::updateTable(PledgeTable current)
 {
     blocked_ = false;
     rejected(std::move(current));
@@ -138,17 +138,17 @@
 
 std::uint32_t HomeFloor::pledge() const
 {
-    return believed_;
+    return assumedPledge_;
 }
 
-const PledgeSheet &HomeFloor::knownSheet() const
+const PledgeTable &HomeFloor::knownTable() const
 {
-    return sheet_;
+    return table_;
 }
 
-bool HomeFloor::absorbGoneHome(PledgeSheet &sheet, Pledge &mine) const
+bool HomeFloor::absorbDepartedHome(PledgeTable &table, Pledge &mine) const
 {
-    for (const Pledge &gone : sheet.pledges) {
+    for (const Pledge &gone : table.pledges) {
         if (gone.home == self_ || inServiceOf_(gone.home).has_value()) {
             continue;
         }
@@ -161,21 +161,21 @@
         Pledge rest = gone;
         rest.pledge -= moved;
         // What was moved and what is left add up to what stood there, so the sum is unchanged.
-        sheet.erase(rest.home);
+        table.erase(rest.home);
         if (rest.pledge > 0) {
-            sheet.set(rest);
+            table.set(rest);
         }
         return true;
     }
     return false;
 }
 
-bool HomeFloor::moveTowardsFairShare(PledgeSheet &sheet, Pledge &mine) const
+bool HomeFloor::moveTowardsFairShare(PledgeTable &table, Pledge &mine) const
 {
-    const std::uint32_t required = requiredServers(floor_, sheet);
-    const std::uint32_t covered = coveredByOthers(sheet);
+    const std::uint32_t required = requiredServers(floor_, table);
+    const std::uint32_t covered = coveredByOthers(table);
     std::uint32_t total = 0;
-    for (const Pledge &one : sheet.pledges) {
+    for (const Pledge &one : table.pledges) {
         total += one.capacity;
     }
     const double exact = total == 0 ? required : static_cast<double>(required) * mine.capacity / total;
@@ -191,26 +191,26 @@
     return true;
 }
 
-std::optional<PledgeSheet> HomeFloor::proposal(bool mayAbsorb)
+std::optional<PledgeTable> HomeFloor::proposal(bool mayAbsorb)
 {
     if (capacity_ == 0 && !registered_) {
         return std::nullopt;
     }
-    PledgeSheet next = sheet_;
+    PledgeTable next = table_;
     const Pledge *known = next.find(self_);
     Pledge mine = known != nullptr ? *known : Pledge{self_, capacity_, capacity_};
     bool changed = known == nullptr || mine.capacity != capacity_;
     mine.capacity = capacity_;
     next.set(mine);
     if (known != nullptr) {
-        changed = (mayAbsorb && absorbGoneHome(next, mine)) || moveTowardsFairShare(next, mine) || changed;
+        changed = (mayAbsorb && absorbDepartedHome(next, mine)) || moveTowardsFairShare(next, mine) || changed;
         next.set(mine);
     }
     if (!changed) {
         return std::nullopt;
     }
     // The belief is raised before the write: if its answer is lost the home keeps the stricter promise.
-    believed_ = std::max(believed_, mine.pledge);
+    assumedPledge_ = std::max(assumedPledge_, mine.pledge);
     pending_ = next;
     return next;
 }
@@ -220,24 +220,24 @@
     if (!pending_) {
         return;
     }
-    sheet_ = *pending_;
-    sheet_.version = version;
+    table_ = *pending_;
+    table_.version = version;
     pending_.reset();
     registered_ = true;
-    believed_ = sheet_.find(self_)->pledge;
+    assumedPledge_ = table_.find(self_)->pledge;
 }
 
-void HomeFloor::rejected(std::optional<PledgeSheet> current)
+void HomeFloor::rejected(std::optional<PledgeTable> current)
 {
     pending_.reset();
-    if (!current || current->version <= sheet_.version) {
+    if (!current || current->version <= table_.version) {
         return;
     }
-    sheet_ = std::move(*current);
-    const Pledge *mine = sheet_.find(self_);
+    table_ = std::move(*current);
+    const Pledge *mine = table_.find(self_);
     registered_ = mine != nullptr;
     // No entry: others took this home for gone and moved its pledge to themselves. It starts over.
-    believed_ = mine != nullptr ? mine->pledge : capacity_;
+    assumedPledge_ = mine != nullptr ? mine->pledge : capacity_;
 }
 
 } // namespace waxwing
--- a/src/health/Detector.cpp
+++ b/src/health/Detector.cpp
@@ -10,23 +10,23 @@
 constexpr Millis outlierWindow = std::chrono::seconds(10);
 
 /** Least share of bad results taken for normal: below it a single one would weigh too much. */
-constexpr double leastHealthyShare = 0.005;
-constexpr double leastSickShare = 0.25;
-constexpr double mostShare = 0.98;
+constexpr double minHealthyShare = 0.005;
+constexpr double minUnhealthyShare = 0.25;
+constexpr double maxShare = 0.98;
 /** A healthy server's late request ends within a further step about half of the time. */
 constexpr double stillWaitingRatio = 0.65;
 
-constexpr Millis leastLateStep{25};
-constexpr Millis mostLateStep{110};
+constexpr Millis minLateStep{25};
+constexpr Millis maxLateStep{110};
 
-int consecutiveLimit(EjectionCare care)
+int consecutiveLimit(EjectionPolicy policy)
 {
-    switch (care) {
-    case EjectionCare::Fast:
+    switch (policy) {
+    case EjectionPolicy::Fast:
         return 3;
-    case EjectionCare::Balanced:
+    case EjectionPolicy::Balanced:
         return 5;
-    case EjectionCare::Careful:
+    case EjectionPolicy::Careful:
         return 8;
     }
     return 5;
@@ -41,11 +41,11 @@
 
 Millis lateStepOf(Millis responseTime)
 {
-    return std::clamp(responseTime / 4, leastLateStep, mostLateStep);
+    return std::clamp(responseTime / 4, minLateStep, maxLateStep);
 }
 
-ConsecutiveDetector::ConsecutiveDetector(EjectionCare care)
-    : limit_(consecutiveLimit(care))
+ConsecutiveDetector::ConsecutiveDetector(EjectionPolicy policy)
+    : limit_(consecutiveLimit(policy))
 { }
 
 void ConsecutiveDetector::add(Evidence evidence, double, SteadyTime)
@@ -53,27 +53,27 @@
     if (evidence == Evidence::StillWaiting) {
         return;
     }
-    inRow_ = isBad(evidence) ? inRow_ + 1 : 0;
+    consecutive_ = isBad(evidence) ? consecutive_ + 1 : 0;
 }
 
-bool ConsecutiveDetector::sick() const
+bool ConsecutiveDetector::isUnhealthy() const
 {
-    return inRow_ >= limit_;
+    return consecutive_ >= limit_;
 }
 
 double ConsecutiveDetector::suspicion() const
 {
-    return static_cast<double>(inRow_) / limit_;
+    return static_cast<double>(consecutive_) / limit_;
 }
 
 void ConsecutiveDetector::reset()
 {
-    inRow_ = 0;
+    consecutive_ = 0;
 }
 
-OutlierDetector::OutlierDetector(EjectionCare care)
-    : margin_(care == EjectionCare::Fast ? 0.15 : (care == EjectionCare::Balanced ? 0.25 : 0.4))
-    , leastSamples_(care == EjectionCare::Fast ? 5 : (care == EjectionCare::Balanced ? 10 : 20))
+OutlierDetector::OutlierDetector(EjectionPolicy policy)
+    : margin_(policy == EjectionPolicy::Fast ? 0.15 : (policy == EjectionPolicy::Balanced ? 0.25 : 0.4))
+    , minSamples_(policy == EjectionPolicy::Fast ? 5 : (policy == EjectionPolicy::Balanced ? 10 : 20))
 { }
 
 void OutlierDetector::add(Evidence evidence, double peerBadShare, SteadyTime now)
@@ -90,14 +90,14 @@
     }
 }
 
-bool OutlierDetector::sick() const
+bool OutlierDetector::isUnhealthy() const
 {
     return suspicion() >= 1.0;
 }
 
 double OutlierDetector::suspicion() const
 {
-    if (window_.size() < leastSamples_) {
+    if (window_.size() < minSamples_) {
         return 0.0;
     }
     const double share = static_cast<double>(bad_) / static_cast<double>(window_.size());
@@ -110,35 +110,35 @@
     bad_ = 0;
 }
 
-double CusumDetector::threshold(EjectionCare care)
+double CusumDetector::threshold(EjectionPolicy policy)
 {
-    switch (care) {
-    case EjectionCare::Fast:
+    switch (policy) {
+    case EjectionPolicy::Fast:
         return 9.0;
-    case EjectionCare::Balanced:
+    case EjectionPolicy::Balanced:
         return 15.0;
-    case EjectionCare::Careful:
+    case EjectionPolicy::Careful:
         return 23.0;
     }
     return 15.0;
 }
 
-CusumDetector::CusumDetector(EjectionCare care)
-    : threshold_(threshold(care))
+CusumDetector::CusumDetector(EjectionPolicy policy)
+    : threshold_(threshold(policy))
 { }
 
 void CusumDetector::add(Evidence evidence, double peerBadShare, SteadyTime)
 {
-    const double healthy = std::clamp(peerBadShare * 1.5, leastHealthyShare, mostShare);
-    const double sick = std::clamp(healthy * 3.0, leastSickShare, 0.99);
+    const double healthy = std::clamp(peerBadShare * 1.5, minHealthyShare, maxShare);
+    const double unhealthy = std::clamp(healthy * 3.0, minUnhealthyShare, 0.99);
     double step = 0.0;
     switch (evidence) {
     case Evidence::Good:
-        step = std::log((1.0 - sick) / (1.0 - healthy));
+        step = std::log((1.0 - unhealthy) / (1.0 - healthy));
         break;
     case Evidence::Late:
     case Evidence::Failed:
-        step = std::log(sick / healthy);
+        step = std::log(unhealthy / healthy);
         break;
     case Evidence::StillWaiting:
         // Where the peers are late as well, waiting longer says little about this one.
@@ -150,7 +150,7 @@
     score_ = std::clamp(score_ + step, 0.0, threshold_ * 1.5);
 }
 
-bool CusumDetector::sick() const
+bool CusumDetector::isUnhealthy() const
 {
     return score_ >= threshold_;
 }
--- a/src/health/ServerHealth.cpp
+++ b/src/health/ServerHealth.cpp
@@ -22,15 +22,15 @@
 ServerHealth::ServerHealth(std::unique_ptr<Detector> detector, HealthTuning tuning, SteadyTime now)
     : detector_(std::move(detector))
     , tuning_(tuning)
-    , phaseSince_(now)
+    , phaseStart_(now)
     , ejectedUntil_(now)
     , ejection_(0)
 { }
 
-int ServerHealth::goodNeeded() const
+int ServerHealth::successesNeeded() const
 {
     const int doublings = std::min(relapses_, 3);
-    return std::min(tuning_.mostGoodToReturn, tuning_.goodToReturn << doublings);
+    return std::min(tuning_.maxSuccessesToReturn, tuning_.successesToReturn << doublings);
 }
 
 void ServerHealth::add(Evidence evidence, double peerBadShare, SteadyTime now)
@@ -41,7 +41,7 @@
     if (phase_ == ServerPhase::Probation) {
         if (evidence != Evidence::Good) {
             eject(now);
-        } else if (++goodInProbation_ >= goodNeeded()) {
+        } else if (++probationSuccesses_ >= successesNeeded()) {
             startRamp(now);
         }
         return;
@@ -58,13 +58,13 @@
 {
     switch (phase_) {
     case ServerPhase::Ramp:
-        if (now - phaseSince_ >= tuning_.ramp) {
+        if (now - phaseStart_ >= tuning_.ramp) {
             phase_ = ServerPhase::InService;
-            phaseSince_ = now;
+            phaseStart_ = now;
         }
         break;
     case ServerPhase::InService:
-        if (relapses_ > 0 && now - phaseSince_ >= tuning_.forgiveAfter) {
+        if (relapses_ > 0 && now - phaseStart_ >= tuning_.resetRelapsesAfter) {
             relapses_ = 0;
             ejection_ = Millis(0);
         }
@@ -82,11 +82,11 @@
 void ServerHealth::eject(SteadyTime now)
 {
     const bool first = ejection_ == Millis(0);
-    ejection_ = first ? tuning_.firstEjection : std::min(tuning_.longestEjection, ejection_ * 2);
+    ejection_ = first ? tuning_.firstEjection : std::min(tuning_.maxEjection, ejection_ * 2);
     relapses_ += first ? 0 : 1;
     ejectedUntil_ = now + ejection_;
     phase_ = ServerPhase::Ejected;
-    phaseSince_ = now;
+    phaseStart_ = now;
     detector_->reset();
 }
 
@@ -100,14 +100,14 @@
 void ServerHealth::startProbation(SteadyTime now)
 {
     phase_ = ServerPhase::Probation;
-    phaseSince_ = now;
-    goodInProbation_ = 0;
+    phaseStart_ = now;
+    probationSuccesses_ = 0;
 }
 
 void ServerHealth::startRamp(SteadyTime now)
 {
     phase_ = ServerPhase::Ramp;
-    phaseSince_ = now;
+    phaseStart_ = now;
     coldStart_ = false;
     detector_->reset();
 }
@@ -117,9 +117,9 @@
     return phase_;
 }
 
-bool ServerHealth::wantsEjection() const
+bool ServerHealth::shouldEject() const
 {
-    return countsAsInService() && detector_->sick();
+    return countsAsInService() && detector_->isUnhealthy();
 }
 
 double ServerHealth::suspicion() const
@@ -144,7 +144,7 @@
     case ServerPhase::Ramp:
         break;
     }
-    const double part = std::chrono::duration<double>(now - phaseSince_) / std::chrono::duration<double>(tuning_.ramp);
+    const double part = std::chrono::duration<double>(now - phaseStart_) / std::chrono::duration<double>(tuning_.ramp);
     const auto usable = static_cast<std::uint32_t>(part * slots) + 1;
     return std::min(slots, usable);
 }
@@ -156,7 +156,7 @@
     }
     if (phase_ == ServerPhase::Probation) {
         // Trying a doubtful server with work that can't be sent again would risk that work.
-        return idempotent || now - phaseSince_ >= tuning_.probationWithoutTrial;
+        return idempotent || now - phaseStart_ >= tuning_.probationWithoutProbe;
     }
     return true;
 }
--- a/src/home/Announcement.cpp
+++ b/src/home/Announcement.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::array<ServerState, 4> states = {ServerState::Starting, ServerState::Serving, ServerState::Draining,
                                                ServerState::Leaving};
-constexpr std::int64_t mostSlots = 10000;
-constexpr std::int64_t mostConnections = 1000000;
+constexpr std::int64_t maxSlots = 10000;
+constexpr std::int64_t maxConnections = 1000000;
 
 } // namespace
 
@@ -44,7 +44,7 @@
     out.server = reader.requiredText("server");
     for (const char *field : {"service", "server"}) {
         const std::string &value = std::string(field) == "service" ? out.service : out.server;
-        if (!value.empty() && !isName(value)) {
+        if (!value.empty() && !isValidName(value)) {
             findings.add(reader.placeOf(field), "is 1 to 63 letters, digits, '-', '_' or '.'");
         }
     }
@@ -52,8 +52,8 @@
     out.incarnation =
         static_cast<std::uint64_t>(reader.integer("incarnation", 0, 0, std::numeric_limits<std::int64_t>::max()));
     out.port = static_cast<std::uint16_t>(reader.integer("port", 0, 1, 65535));
-    out.slots = static_cast<std::uint32_t>(reader.integer("slots", 1, 1, mostSlots));
-    out.connections = static_cast<std::uint32_t>(reader.integer("connections", out.slots, 1, mostConnections));
+    out.slots = static_cast<std::uint32_t>(reader.integer("slots", 1, 1, maxSlots));
+    out.connections = static_cast<std::uint32_t>(reader.integer("connections", out.slots, 1, maxConnections));
     if (!reader.has("port")) {
         findings.add(reader.placeOf("port"), "is missing");
     }
--- a/src/home/LocalServerState.cpp
+++ b/src/home/LocalServerState.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 /** Farewells remembered; a server beside one node restarts far less often than heartbeats are delayed. */
-constexpr std::size_t mostGone = 64;
+constexpr std::size_t maxDeregistered = 64;
 } // namespace
 
 bool LocalServerState::isOlder(const Announcement &announcement) const
 {
-    const auto gone = gone_.find(announcement.server);
-    if (gone != gone_.end() && announcement.incarnation <= gone->second) {
+    const auto gone = deregistered_.find(announcement.server);
+    if (gone != deregistered_.end() && announcement.incarnation <= gone->second) {
         return true;
     }
     if (!current_) {
@@ -24,7 +24,7 @@
     return announcement.server != current_->server || announcement.sequence < current_->sequence;
 }
 
-ServerChange LocalServerState::take(const Announcement &announcement, const LocalServer &expected)
+ServerChange LocalServerState::update(const Announcement &announcement, const LocalServer &expected)
 {
     const bool fromHere = announcement.service == expected.service && announcement.address == expected.address.address
                           && announcement.port == expected.address.port;
@@ -35,18 +35,18 @@
     const bool repeated = !newProcess && announcement.sequence == current_->sequence;
     const bool serves = announcement.state == ServerState::Serving;
     const bool wasServing = serving() != nullptr && !newProcess;
-    if (repeated && serves && left_) {
+    if (repeated && serves && stopped_) {
         return ServerChange::None;
     }
     current_ = announcement;
-    left_ = !serves;
+    stopped_ = !serves;
     if (serves == wasServing) {
         return ServerChange::None;
     }
-    return serves ? ServerChange::Started : ServerChange::Left;
+    return serves ? ServerChange::Started : ServerChange::Stopped;
 }
 
-ServerChange LocalServerState::takeFarewell(const std::string &server, std::optional<std::uint64_t> incarnation)
+ServerChange LocalServerState::deregister(const std::string &server, std::optional<std::uint64_t> incarnation)
 {
     const bool isCurrent =
         current_ && current_->server == server && (!incarnation || *incarnation >= current_->incarnation);
@@ -55,29 +55,29 @@
         ended = std::max(ended, current_->incarnation);
     }
     if (ended > 0) {
-        if (gone_.size() >= mostGone) {
-            gone_.erase(gone_.begin());
+        if (deregistered_.size() >= maxDeregistered) {
+            deregistered_.erase(deregistered_.begin());
         }
-        gone_[server] = std::max(gone_[server], ended);
+        deregistered_[server] = std::max(deregistered_[server], ended);
     }
-    if (!isCurrent || left_) {
+    if (!isCurrent || stopped_) {
         return ServerChange::None;
     }
-    left_ = true;
-    return ServerChange::Left;
+    stopped_ = true;
+    return ServerChange::Stopped;
 }
 
 void LocalServerState::noteReplaced()
 {
-    left_ = true;
+    stopped_ = true;
 }
 
 const Announcement *LocalServerState::serving() const
 {
-    return current_ && !left_ ? &*current_ : nullptr;
+    return current_ && !stopped_ ? &*current_ : nullptr;
 }
 
-const Announcement *LocalServerState::known() const
+const Announcement *LocalServerState::latest() const
 {
     return current_ ? &*current_ : nullptr;
 }
--- a/src/home/ServiceHome.cpp
+++ b/src/home/ServiceHome.cpp
@@ -13,10 +13,10 @@
 constexpr Millis resultHalfLife = std::chrono::seconds(1);
 /** Good results assumed of a service of which little is known. */
 constexpr double priorGood = 3.0;
-constexpr double typicalSmoothing = 0.1;
-constexpr double suspectAt = 0.3;
-constexpr Millis leastRetryAfter{200};
-constexpr Millis mostRetryAfter{30000};
+constexpr double workTimeSmoothing = 0.1;
+constexpr double suspicionThreshold = 0.3;
+constexpr Millis minRetryAfter{200};
+constexpr Millis maxRetryAfter{30000};
 
 double decay(SteadyTime since, SteadyTime now)
 {
@@ -48,13 +48,13 @@
     floor_.setFloor(intent_.strictestFloor());
 }
 
-EjectionCare ServiceHome::mostCareful() const
+EjectionPolicy ServiceHome::mostCarefulPolicy() const
 {
-    EjectionCare care = EjectionCare::Fast;
+    EjectionPolicy policy = EjectionPolicy::Fast;
     for (const ClassIntent &one : intent_.classes) {
-        care = std::max(care, one.care);
+        policy = std::max(policy, one.policy);
     }
-    return care;
+    return policy;
 }
 
 bool ServiceHome::announce(const Announcement &announcement, SteadyTime now)
@@ -62,8 +62,8 @@
     auto found = servers_.find(announcement.server);
     if (found == servers_.end()) {
         servers_.emplace(announcement.server,
-                         Server(announcement, ServerHealth(detectors_(mostCareful()), tuning_.health, now), now));
-        refreshFloor(now);
+                         Server(announcement, ServerHealth(detectors_(mostCarefulPolicy()), tuning_.health, now), now));
+        updateFloor(now);
         return true;
     }
     Server &server = found->second;
@@ -76,7 +76,7 @@
         server.announced = announcement;
         server.lastAnnounced = now;
     }
-    refreshFloor(now);
+    updateFloor(now);
     return newProcess;
 }
 
@@ -123,7 +123,7 @@
             // A trial comes first, else a server could never show that it is well again while others have room.
             return &server;
         }
-        const bool suspect = server.health.suspicion() >= suspectAt && !server.keptForFloor;
+        const bool suspect = server.health.suspicion() >= suspicionThreshold && !server.keptForFloor;
         if (suspect && intent.idempotent && server.inFlight == 0) {
             // One request at a time settles a suspicion soon. Left to the choice by load alone, a suspect would get no
             // work and so give no evidence, and stay in doubt for ever.
@@ -131,10 +131,11 @@
         }
         // A small suspicion must not count: at little traffic an idle server would never win against spotless ones, get
         // no work, and so neither clear itself nor be found out.
-        const double doubt = server.health.suspicion() >= suspectAt ? server.health.suspicion() : 0.0;
-        const double load = static_cast<double>(server.inFlight) / usable + doubt + (server.keptForFloor ? 10.0 : 0.0);
+        const double penalty = server.health.suspicion() >= suspicionThreshold ? server.health.suspicion() : 0.0;
+        const double load =
+            static_cast<double>(server.inFlight) / usable + penalty + (server.keptForFloor ? 10.0 : 0.0);
         const bool better =
-            best == nullptr || load < bestLoad || (load == bestLoad && server.lastTurn < best->lastTurn);
+            best == nullptr || load < bestLoad || (load == bestLoad && server.lastAssignment < best->lastAssignment);
         if (better) {
             best = &server;
             bestLoad = load;
@@ -167,11 +168,11 @@
     }
     // A slow class holds its slots long, so without a limit it takes them all by and by, and a fast class beside it
     // waits for its slow work. A fast class gives its slots back soon and needs no limit.
-    const Duration typical = found->second.typical;
+    const Duration workTime = found->second.workTime;
     const bool besideFaster = std::any_of(classes_.begin(), classes_.end(), [&](const auto &entry) {
-        const bool recent = now - entry.second.lastSeen < tuning_.classMemory;
+        const bool recent = now - entry.second.lastSeen < tuning_.activeClassWindow;
         const bool faster =
-            entry.second.typical > Duration(0) && entry.second.typical * tuning_.slowClassFactor < typical;
+            entry.second.workTime > Duration(0) && entry.second.workTime * tuning_.slowClassFactor < workTime;
         return entry.first != className && recent && faster;
     });
     const double allowed = std::max(1.0, std::floor(tuning_.slowClassShare * totalUsableSlots(now)));
@@ -181,7 +182,7 @@
 void ServiceHome::assign(Server &server, std::uint64_t id, const std::string &className)
 {
     ++server.inFlight;
-    server.lastTurn = ++turn_;
+    server.lastAssignment = ++assignments_;
     ++classes_[className].inFlight;
     classOf_[id] = className;
 }
@@ -189,17 +190,17 @@
 Duration ServiceHome::expectedWait(const std::string &className, SteadyTime now) const
 {
     const auto found = classes_.find(className);
-    const Duration typical = found == classes_.end() ? Duration(0) : found->second.typical;
+    const Duration workTime = found == classes_.end() ? Duration(0) : found->second.workTime;
     const std::uint32_t slots = std::max<std::uint32_t>(1, totalUsableSlots(now));
     const auto ahead = static_cast<std::int64_t>(queue_.sizeOf(className) + 1);
-    return typical * ahead / slots;
+    return workTime * ahead / slots;
 }
 
 Admission ServiceHome::refusal(std::string reason, Duration retryAfter) const
 {
     Admission out;
     out.reason = std::move(reason);
-    out.retryAfter = std::clamp(std::chrono::duration_cast<Millis>(retryAfter), leastRetryAfter, mostRetryAfter);
+    out.retryAfter = std::clamp(std::chrono::duration_cast<Millis>(retryAfter), minRetryAfter, maxRetryAfter);
     return out;
 }
 
@@ -207,12 +208,12 @@
 {
     const ClassIntent *intent = intent_.classNamed(request.className);
     if (intent == nullptr) {
-        return refusal("unknown-class", mostRetryAfter);
+        return refusal("unknown-class", maxRetryAfter);
     }
     ClassLoad &load = classes_[request.className];
     load.lastSeen = now;
     if (request.deadline <= now) {
-        return refusal("deadline-passed", leastRetryAfter);
+        return refusal("deadline-passed", minRetryAfter);
     }
     const bool anyPresent = std::any_of(servers_.begin(), servers_.end(), [&](const auto &entry) {
         return usableSlots(entry.second, now) > 0 && request.exclude.count(entry.first) == 0;
@@ -231,7 +232,7 @@
     }
     // Work that would only time out in the queue is refused now, while the caller can still go elsewhere.
     const Duration wait = expectedWait(request.className, now);
-    if (tuning_.refuseEarly && now + wait + load.typical > request.deadline) {
+    if (tuning_.refuseEarly && now + wait + load.workTime > request.deadline) {
         return refusal("would-miss-deadline", wait);
     }
     if (!queue_.push(QueuedRequest{request.id, request.className, request.customer, request.deadline})) {
@@ -255,8 +256,8 @@
     }
     ClassLoad &load = classes_[className->second];
     load.inFlight -= load.inFlight > 0 ? 1 : 0;
-    const auto shift = std::chrono::duration_cast<Duration>((took - load.typical) * typicalSmoothing);
-    load.typical = load.typical == Duration(0) ? took : load.typical + shift;
+    const auto shift = std::chrono::duration_cast<Duration>((took - load.workTime) * workTimeSmoothing);
+    load.workTime = load.workTime == Duration(0) ? took : load.workTime + shift;
     classOf_.erase(className);
 }
 
@@ -266,7 +267,7 @@
     return queue_.remove(id);
 }
 
-void ServiceHome::count(Server &server, bool bad, SteadyTime now)
+void ServiceHome::recordResult(Server &server, bool bad, SteadyTime now)
 {
     const double kept = decay(server.countedAt, now);
     server.good = server.good * kept + (bad ? 0.0 : 1.0);
@@ -274,7 +275,7 @@
     server.countedAt = now;
 }
 
-double ServiceHome::badShareWithout(const std::string &except) const
+double ServiceHome::badShareExcluding(const std::string &except) const
 {
     double good = priorGood + peerGood_;
     double bad = peerBad_;
@@ -296,9 +297,9 @@
     }
     Server &server = found->second;
     if (evidence != Evidence::StillWaiting) {
-        count(server, evidence != Evidence::Good, now);
+        recordResult(server, evidence != Evidence::Good, now);
     }
-    server.health.add(evidence, badShareWithout(name), now);
+    server.health.add(evidence, badShareExcluding(name), now);
 }
 
 void ServiceHome::addPeerEvidence(bool bad, SteadyTime now)
@@ -317,9 +318,9 @@
     }
 }
 
-ServiceHome::Due ServiceHome::poll(SteadyTime now)
+ServiceHome::PollResult ServiceHome::poll(SteadyTime now)
 {
-    Due due;
+    PollResult due;
     for (const QueuedRequest &expired : queue_.takeExpired(now)) {
         excluded_.erase(expired.id);
         due.expired.push_back(expired.id);
@@ -342,7 +343,7 @@
     return due;
 }
 
-void ServiceHome::refreshFloor(SteadyTime now)
+void ServiceHome::updateFloor(SteadyTime now)
 {
     std::uint32_t announced = 0;
     std::uint32_t healthy = 0;
@@ -354,49 +355,49 @@
     floor_.setCapacity(announced, healthy, now);
 }
 
-void ServiceHome::ejectSick(std::vector<HomeDecision> &decisions, SteadyTime now)
+void ServiceHome::ejectUnhealthyServers(std::vector<HomeDecision> &decisions, SteadyTime now)
 {
-    std::vector<Server *> sick;
+    std::vector<Server *> unhealthy;
     for (auto &[name, server] : servers_) {
-        if (isHealthy(server, now) && server.health.wantsEjection()) {
-            sick.push_back(&server);
+        if (isHealthy(server, now) && server.health.shouldEject()) {
+            unhealthy.push_back(&server);
         } else {
             server.keptForFloor = false;
         }
     }
-    std::sort(sick.begin(), sick.end(),
+    std::sort(unhealthy.begin(), unhealthy.end(),
               [](const Server *a, const Server *b) { return a->health.suspicion() > b->health.suspicion(); });
-    for (Server *server : sick) {
+    for (Server *server : unhealthy) {
         const std::string &name = server->announced.server;
-        const std::vector<std::pair<std::string, std::string>> evidence = {
+        const std::vector<std::pair<std::string, std::string>> fields = {
             {"suspicion", decimal(server->health.suspicion())},
-            {"peerBadShare", decimal(badShareWithout(name))},
+            {"peerBadShare", decimal(badShareExcluding(name))},
             {"inService", std::to_string(inService())},
             {"mustKeep", std::to_string(floor_.mustKeep())}};
-        refreshFloor(now);
-        const bool slow = serviceIsSlow(name, now);
+        updateFloor(now);
+        const bool slow = isServiceSlow(name, now);
         if (!slow && floor_.mayEject()) {
             server->health.eject(now);
             server->keptForFloor = false;
-            decisions.push_back(HomeDecision{"server_ejected", name, evidence});
-            decisions.back().evidence.emplace_back("for",
-                                                   std::to_string(server->health.currentEjection().count()) + "ms");
-            refreshFloor(now);
+            decisions.push_back(HomeDecision{"server_ejected", name, fields});
+            decisions.back().fields.emplace_back("for",
+                                                 std::to_string(server->health.currentEjection().count()) + "ms");
+            updateFloor(now);
         } else if (!slow) {
-            floor_.noteBlocked();
+            floor_.noteEjectionBlocked();
             if (server->keptForFloor) {
                 continue;
             }
             server->keptForFloor = true;
-            decisions.push_back(HomeDecision{"server_kept_for_floor", name, evidence});
-        } else if (lastSlowService_ != name) {
-            lastSlowService_ = name;
-            decisions.push_back(HomeDecision{"service_slow_nobody_ejected", name, evidence});
+            decisions.push_back(HomeDecision{"server_kept_for_floor", name, fields});
+        } else if (lastReportedSlow_ != name) {
+            lastReportedSlow_ = name;
+            decisions.push_back(HomeDecision{"service_slow_nobody_ejected", name, fields});
         }
     }
 }
 
-bool ServiceHome::serviceIsSlow(const std::string &except, SteadyTime now) const
+bool ServiceHome::isServiceSlow(const std::string &except, SteadyTime now) const
 {
     // Judged by the median, so that a few other sick servers don't keep this one in service, while a slow service
     // shows in more than half of its servers whichever of them was found late first.
@@ -432,7 +433,7 @@
                              it->first,
                              {{"from", serverPhaseName(before)}, {"to", serverPhaseName(server.health.phase())}}});
         }
-        const bool forget = now - server.lastAnnounced >= tuning_.forgetAfter && server.inFlight == 0;
+        const bool forget = now - server.lastAnnounced >= tuning_.removeAfter && server.inFlight == 0;
         if (forget) {
             decisions.push_back(HomeDecision{"server_forgotten", it->first, {}});
             it = servers_.erase(it);
@@ -440,8 +441,8 @@
             ++it;
         }
     }
-    ejectSick(decisions, now);
-    refreshFloor(now);
+    ejectUnhealthyServers(decisions, now);
+    updateFloor(now);
     return decisions;
 }
 
@@ -469,7 +470,7 @@
     return free;
 }
 
-bool ServiceHome::hasRoomBeside(const std::set<std::string> &exclude, SteadyTime now) const
+bool ServiceHome::hasFreeSlotExcluding(const std::set<std::string> &exclude, SteadyTime now) const
 {
     return std::any_of(servers_.begin(), servers_.end(), [&](const auto &entry) {
         return exclude.count(entry.first) == 0 && entry.second.inFlight < usableSlots(entry.second, now);
--- a/src/home/SlotQueue.cpp
+++ b/src/home/SlotQueue.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /** The usual work time follows this much slower than the recent one, so that a slow phase shows as their ratio. */
-constexpr double usualSmoothingPart = 0.1;
-constexpr double leastSlowdown = 1.0;
-constexpr double mostSlowdown = 20.0;
+constexpr double baselineSmoothing = 0.1;
+constexpr double minSlowdown = 1.0;
+constexpr double maxSlowdown = 20.0;
 /** Late requests are served after all ranks of those that can be in time. */
 constexpr int firstLateRank = 1000;
 
@@ -26,7 +26,7 @@
 
 } // namespace
 
-const char *refusalName(RefusalReason reason)
+const char *refusalReasonName(RefusalReason reason)
 {
     switch (reason) {
     case RefusalReason::None:
@@ -35,7 +35,7 @@
         return "no-server";
     case RefusalReason::Busy:
         return "busy";
-    case RefusalReason::Doubtful:
+    case RefusalReason::LikelyGray:
         return "doubtful";
     case RefusalReason::TooLate:
         return "too-late";
@@ -46,25 +46,25 @@
 SlotQueue::SlotQueue(SlotTuning tuning)
     : tuning_(tuning)
     , gray_(tuning.gray)
-    , trialPause_(tuning.firstTrialPause)
+    , probeInterval_(tuning.initialProbeInterval)
 { }
 
-void SlotQueue::setServer(std::uint32_t slots, bool fresh, SteadyTime now)
+void SlotQueue::setServer(std::uint32_t slots, bool newProcess, SteadyTime now)
 {
     slots_ = slots;
-    if (fresh) {
+    if (newProcess) {
         gray_.reset(now);
-        trialPause_ = tuning_.firstTrialPause;
+        probeInterval_ = tuning_.initialProbeInterval;
     }
 }
 
 std::vector<std::uint64_t> SlotQueue::clearServer()
 {
     slots_ = 0;
-    return takeWaiting();
+    return removeWaiting();
 }
 
-std::vector<std::uint64_t> SlotQueue::takeWaiting()
+std::vector<std::uint64_t> SlotQueue::removeWaiting()
 {
     std::vector<std::uint64_t> left;
     for (const Waiting &one : waiting_) {
@@ -84,26 +84,26 @@
     return running_.size() < slots_;
 }
 
-Duration SlotQueue::typicalWork(const std::string &route) const
+Duration SlotQueue::expectedWorkTime(const std::string &route) const
 {
-    const auto found = work_.find(route);
-    return found == work_.end() ? Duration(tuning_.assumedWork) : durationOf(found->second.recent);
+    const auto found = workTimes_.find(route);
+    return found == workTimes_.end() ? Duration(tuning_.defaultWorkTime) : durationOf(found->second.recent);
 }
 
-bool SlotQueue::knowsWork(const std::string &route) const
+bool SlotQueue::hasWorkTime(const std::string &route) const
 {
-    return work_.count(route) != 0;
+    return workTimes_.count(route) != 0;
 }
 
-Duration SlotQueue::meanWork() const
+Duration SlotQueue::meanWorkTime() const
 {
-    return meanWork_ == 0.0 ? Duration(tuning_.assumedWork) : durationOf(meanWork_);
+    return meanWorkTime_ == 0.0 ? Duration(tuning_.defaultWorkTime) : durationOf(meanWorkTime_);
 }
 
 int SlotQueue::rankOf(const SlotRequest &request, SteadyTime now) const
 {
     // Work that would be late anyway goes behind work that can still be in time: it loses little by more waiting.
-    const bool late = now + typicalWork(request.route) > request.objective;
+    const bool late = now + expectedWorkTime(request.route) > request.objective;
     return late ? firstLateRank + request.priority : request.priority;
 }
 
@@ -114,37 +114,37 @@
     return rankA != rankB ? rankA < rankB : a.objective < b.objective;
 }
 
-RefusalReason SlotQueue::doubtRefuses(const SlotRequest &request, SteadyTime now) const
+RefusalReason SlotQueue::grayRefusal(const SlotRequest &request, SteadyTime now) const
 {
-    const double doubt = gray_.doubt(now);
-    if (doubt < (request.acceptsDoubt ? tuning_.hopeless : tuning_.doubtful)) {
+    const double grayProbability = gray_.grayProbability(now);
+    if (grayProbability < (request.acceptsGray ? tuning_.certainGrayThreshold : tuning_.grayThreshold)) {
         return RefusalReason::None;
     }
-    if (!request.repeatable) {
-        return RefusalReason::Doubtful;
+    if (!request.retryable) {
+        return RefusalReason::LikelyGray;
     }
-    const bool trialRuns =
-        std::any_of(running_.begin(), running_.end(), [](const auto &entry) { return entry.second.trial; });
-    const bool tooSoon = now - lastTrial_ < trialPauseFor(request);
-    return trialRuns || tooSoon ? RefusalReason::Doubtful : RefusalReason::None;
+    const bool probeRunning =
+        std::any_of(running_.begin(), running_.end(), [](const auto &entry) { return entry.second.probe; });
+    const bool tooSoon = now - lastProbe_ < probeIntervalFor(request);
+    return probeRunning || tooSoon ? RefusalReason::LikelyGray : RefusalReason::None;
 }
 
-Duration SlotQueue::trialPauseFor(const SlotRequest &request) const
+Duration SlotQueue::probeIntervalFor(const SlotRequest &request) const
 {
-    if (request.acceptsDoubt || trialPause_ <= tuning_.firstTrialPause) {
-        return trialPause_;
+    if (request.acceptsGray || probeInterval_ <= tuning_.initialProbeInterval) {
+        return probeInterval_;
     }
-    const auto longer = std::chrono::duration_cast<Duration>(trialPause_ * tuning_.unawareFactor);
-    return std::min<Duration>(tuning_.longestUnawarePause, longer);
+    const auto longer = std::chrono::duration_cast<Duration>(probeInterval_ * tuning_.uninformedSenderFactor);
+    return std::min<Duration>(tuning_.maxUninformedProbeInterval, longer);
 }
 
 void SlotQueue::start(const SlotRequest &request, SteadyTime now)
 {
-    const bool trial = gray_.doubt(now) >= tuning_.doubtful;
-    if (trial) {
-        lastTrial_ = now;
+    const bool probe = gray_.grayProbability(now) >= tuning_.grayThreshold;
+    if (probe) {
+        lastProbe_ = now;
     }
-    running_[request.id] = Running{trial, rankOf(request, now), now};
+    running_[request.id] = Running{probe, rankOf(request, now), now};
 }
 
 Duration SlotQueue::expectedWait(const SlotRequest &request, SteadyTime now) const
@@ -160,13 +160,13 @@
 Duration SlotQueue::waitBehind(std::ptrdiff_t ahead, int rank, SteadyTime now) const
 {
     const double slots = std::max<std::uint32_t>(1, slots_);
-    const double behindThem = secondsOf(meanWork()) * static_cast<double>(ahead + 1) / slots;
-    return durationOf(behindThem / (1.0 - occupiedBefore(rank, now)));
+    const double behindThem = secondsOf(meanWorkTime()) * static_cast<double>(ahead + 1) / slots;
+    return durationOf(behindThem / (1.0 - occupancyAbove(rank, now)));
 }
 
-double SlotQueue::occupiedBefore(int rank, SteadyTime now) const
+double SlotQueue::occupancyAbove(int rank, SteadyTime now) const
 {
-    const double memory = secondsOf(tuning_.occupancyMemory);
+    const double memory = secondsOf(tuning_.occupancyTimeConstant);
     double seconds = 0.0;
     for (const auto &[other, occupancy] : occupancy_) {
         if (other < rank) {
@@ -174,32 +174,32 @@
         }
     }
     const double slots = std::max<std::uint32_t>(1, slots_);
-    return std::min(tuning_.mostOccupied, seconds / (memory * slots));
+    return std::min(tuning_.maxOccupancy, seconds / (memory * slots));
 }
 
 SlotDecision SlotQueue::submit(const SlotRequest &request, SteadyTime now)
 {
-    const auto refused = [](RefusalReason reason) { return SlotDecision{SlotVerdict::Refused, reason}; };
+    const auto refused = [](RefusalReason reason) { return SlotDecision{SlotAction::Refuse, reason}; };
     if (slots_ == 0) {
         return refused(RefusalReason::NoServer);
     }
     if (request.deadline <= now) {
         return refused(RefusalReason::TooLate);
     }
-    const RefusalReason doubt = doubtRefuses(request, now);
-    if (doubt != RefusalReason::None) {
-        return refused(doubt);
+    const RefusalReason grayReason = grayRefusal(request, now);
+    if (grayReason != RefusalReason::None) {
+        return refused(grayReason);
     }
     const Duration wait = expectedWait(request, now);
     if (wait == Duration(0)) {
         start(request, now);
-        return SlotDecision{SlotVerdict::Start, RefusalReason::None};
+        return SlotDecision{SlotAction::Start, RefusalReason::None};
     }
-    if (wait > request.patience || waiting_.size() >= tuning_.mostWaiting) {
+    if (wait > request.queueTimeout || waiting_.size() >= tuning_.maxWaiting) {
         return refused(RefusalReason::Busy);
     }
-    waiting_.push_back(Waiting{request, std::min(request.deadline, now + request.patience)});
-    return SlotDecision{SlotVerdict::Wait, RefusalReason::None};
+    waiting_.push_back(Waiting{request, std::min(request.deadline, now + request.queueTimeout)});
+    return SlotDecision{SlotAction::Queue, RefusalReason::None};
 }
 
 bool SlotQueue::cancel(std::uint64_t id)
@@ -220,8 +220,8 @@
         return;
     }
     Occupancy &taken = occupancy_[found->second.rank];
-    const double faded = std::exp(-secondsOf(now - taken.at) / secondsOf(tuning_.occupancyMemory));
-    taken.seconds = taken.seconds * faded + secondsOf(now - found->second.since);
+    const double decayed = std::exp(-secondsOf(now - taken.at) / secondsOf(tuning_.occupancyTimeConstant));
+    taken.seconds = taken.seconds * decayed + secondsOf(now - found->second.since);
     taken.at = now;
     running_.erase(found);
 }
@@ -230,29 +230,29 @@
 {
     const double seconds = secondsOf(took);
     if (failed) {
-        const bool quick = seconds < tuning_.quickPart * secondsOf(typicalWork(route));
-        noteFailure(quick ? tuning_.quickFailureRatio : tuning_.slowFailureRatio, now);
+        const bool fast = seconds < tuning_.fastFailureFraction * secondsOf(expectedWorkTime(route));
+        noteFailure(fast ? tuning_.fastFailureRatio : tuning_.slowFailureRatio, now);
         return;
     }
-    shedShare_ = (1.0 - tuning_.shedSmoothing) * shedding(now);
+    shedShare_ = (1.0 - tuning_.shedSmoothing) * shedRate(now);
     shedAt_ = now;
     gray_.addSuccess(now);
-    trialPause_ = tuning_.firstTrialPause;
-    WorkTime &work = work_[route];
-    const bool first = work.usual == 0.0;
+    probeInterval_ = tuning_.initialProbeInterval;
+    WorkTime &work = workTimes_[route];
+    const bool first = work.baseline == 0.0;
     work.recent = first ? seconds : work.recent + tuning_.smoothing * (seconds - work.recent);
-    work.usual = first ? seconds : work.usual + tuning_.smoothing * usualSmoothingPart * (seconds - work.usual);
-    meanWork_ = meanWork_ == 0.0 ? seconds : meanWork_ + tuning_.smoothing * (seconds - meanWork_);
+    work.baseline = first ? seconds : work.baseline + tuning_.smoothing * baselineSmoothing * (seconds - work.baseline);
+    meanWorkTime_ = meanWorkTime_ == 0.0 ? seconds : meanWorkTime_ + tuning_.smoothing * (seconds - meanWorkTime_);
 }
 
 void SlotQueue::noteShed(SteadyTime now)
 {
-    const double before = shedding(now);
+    const double before = shedRate(now);
     shedShare_ = before + tuning_.shedSmoothing * (1.0 - before);
     shedAt_ = now;
 }
 
-double SlotQueue::shedding(SteadyTime now) const
+double SlotQueue::shedRate(SteadyTime now) const
 {
     const double age =
         std::chrono::duration<double>(now - shedAt_) / std::chrono::duration<double>(tuning_.shedHalfLife);
@@ -266,18 +266,18 @@
 
 void SlotQueue::noteFailure(double ratio, SteadyTime now)
 {
-    if (gray_.doubt(now) >= tuning_.doubtful) {
-        const auto longer = std::chrono::duration_cast<Duration>(trialPause_ * tuning_.trialPauseFactor);
-        trialPause_ = std::min<Duration>(tuning_.longestTrialPause, longer);
+    if (gray_.grayProbability(now) >= tuning_.grayThreshold) {
+        const auto longer = std::chrono::duration_cast<Duration>(probeInterval_ * tuning_.probeIntervalFactor);
+        probeInterval_ = std::min<Duration>(tuning_.maxProbeInterval, longer);
     }
     gray_.addFailure(ratio, now);
 }
 
-SlotQueue::Due SlotQueue::poll(SteadyTime now)
+SlotQueue::PollResult SlotQueue::poll(SteadyTime now)
 {
-    Due due;
+    PollResult due;
     for (auto it = waiting_.begin(); it != waiting_.end();) {
-        if (it->until <= now) {
+        if (it->expiresAt <= now) {
             due.expired.push_back(it->request.id);
             it = waiting_.erase(it);
         } else {
@@ -287,7 +287,7 @@
     while (hasFreeSlot()) {
         auto best = waiting_.end();
         for (auto it = waiting_.begin(); it != waiting_.end(); ++it) {
-            const bool allowed = doubtRefuses(it->request, now) == RefusalReason::None;
+            const bool allowed = grayRefusal(it->request, now) == RefusalReason::None;
             if (allowed && (best == waiting_.end() || isMoreUrgent(it->request, best->request, now))) {
                 best = it;
             }
@@ -301,8 +301,8 @@
     }
     for (auto it = waiting_.begin(); it != waiting_.end();) {
         // The server became doubtful while it waited: another home may be sound, and there still is time for it.
-        const bool doubted = doubtRefuses(it->request, now) != RefusalReason::None;
-        if (doubted || waitsInVain(*it, now)) {
+        const bool likelyGray = grayRefusal(it->request, now) != RefusalReason::None;
+        if (likelyGray || willTimeOut(*it, now)) {
             due.expired.push_back(it->request.id);
             it = waiting_.erase(it);
         } else {
@@ -312,7 +312,7 @@
     return due;
 }
 
-bool SlotQueue::waitsInVain(const Waiting &one, SteadyTime now) const
+bool SlotQueue::willTimeOut(const Waiting &one, SteadyTime now) const
 {
     const int rank = rankOf(one.request, now);
     if (rank < firstLateRank) {
@@ -321,15 +321,15 @@
     const auto ahead = std::count_if(waiting_.begin(), waiting_.end(), [&](const Waiting &other) {
         return isMoreUrgent(other.request, one.request, now);
     });
-    return now + waitBehind(ahead, rank, now) > one.until;
+    return now + waitBehind(ahead, rank, now) > one.expiresAt;
 }
 
-SteadyTime SlotQueue::nextDue(SteadyTime now) const
+SteadyTime SlotQueue::nextPollTime(SteadyTime now) const
 {
     SteadyTime next = SteadyTime::max();
     for (const Waiting &one : waiting_) {
-        const SteadyTime late = one.request.objective - typicalWork(one.request.route);
-        next = std::min(next, late > now ? std::min(late, one.until) : one.until);
+        const SteadyTime late = one.request.objective - expectedWorkTime(one.request.route);
+        next = std::min(next, late > now ? std::min(late, one.expiresAt) : one.expiresAt);
     }
     return next;
 }
@@ -337,12 +337,12 @@
 double SlotQueue::slowdown() const
 {
     double recent = 0.0;
-    double usual = 0.0;
-    for (const auto &[route, work] : work_) {
+    double baseline = 0.0;
+    for (const auto &[route, work] : workTimes_) {
         recent += work.recent;
-        usual += work.usual;
+        baseline += work.baseline;
     }
-    return usual == 0.0 ? leastSlowdown : std::clamp(recent / usual, leastSlowdown, mostSlowdown);
+    return baseline == 0.0 ? minSlowdown : std::clamp(recent / baseline, minSlowdown, maxSlowdown);
 }
 
 HomeLoad SlotQueue::load(int priority, SteadyTime now) const
@@ -357,9 +357,9 @@
     if (slots_ > 0 && (load.freeSlots == 0 || ahead > 0)) {
         load.wait = std::chrono::duration_cast<Millis>(waitBehind(ahead, priority, now));
     }
-    load.doubt = gray_.doubt(now);
+    load.grayProbability = gray_.grayProbability(now);
     load.slowdown = slowdown();
-    load.shedding = shedding(now);
+    load.shedRate = shedRate(now);
     return load;
 }
 
@@ -373,9 +373,9 @@
     return waiting_.size();
 }
 
-double SlotQueue::doubt(SteadyTime now) const
+double SlotQueue::grayProbability(SteadyTime now) const
 {
-    return gray_.doubt(now);
+    return gray_.grayProbability(now);
 }
 
 } // namespace waxwing
--- a/src/http/HttpClient.cpp
+++ b/src/http/HttpClient.cpp
@@ -18,15 +18,15 @@
 
 namespace {
 
-constexpr std::size_t idleConnectionsKept = 64;
+constexpr std::size_t maxIdleConnections = 64;
 /** Answers to other requests that are read past before a connection is given up. */
-constexpr int mostStrayAnswers = 4;
+constexpr int maxMismatchedResponses = 4;
 /** A connection is not used in the last part of the time for which its peer promised to keep it. */
 constexpr Millis keepAliveMargin{1000};
 /** A process that is there accepts or refuses a connection at once. */
-constexpr Millis aliveProbe{250};
+constexpr Millis connectProbeTimeout{250};
 /** A process that ends has closed all its sockets after this time, also on a VM whose share of a core is used up. */
-constexpr Millis dyingPause{100};
+constexpr Millis exitGrace{100};
 
 /** The seconds of "timeout=N" in a Keep-Alive header; negative if it names none. */
 std::int64_t keepAliveSeconds(std::string_view header)
@@ -46,10 +46,10 @@
         return ExchangeFailure::Timeout;
     }
     if (error == http::error::partial_message) {
-        return ExchangeFailure::Cut;
+        return ExchangeFailure::Truncated;
     }
     const bool parseError = error.category() == http::make_error_code(http::error::bad_method).category();
-    return parseError && error != http::error::end_of_stream ? ExchangeFailure::Garbled : ExchangeFailure::Reset;
+    return parseError && error != http::error::end_of_stream ? ExchangeFailure::Malformed : ExchangeFailure::Reset;
 }
 
 http::request<http::string_body> toBeast(const Endpoint &endpoint, const HttpRequest &request)
@@ -82,9 +82,9 @@
         return "reset";
     case ExchangeFailure::Timeout:
         return "timeout";
-    case ExchangeFailure::Cut:
+    case ExchangeFailure::Truncated:
         return "cut";
-    case ExchangeFailure::Garbled:
+    case ExchangeFailure::Malformed:
         return "garbled";
     }
     return "connect";
@@ -118,7 +118,7 @@
     bool reusable = false;
     std::chrono::steady_clock::time_point idleSince;
     /** How long the peer keeps it open, if it said so. */
-    Duration keptFor = Duration::max();
+    Duration keepAliveTimeout = Duration::max();
 };
 
 HttpClient::HttpClient(boost::asio::io_context &ioContext)
@@ -127,7 +127,7 @@
 
 HttpClient::~HttpClient() = default;
 
-HttpClient::ConnectionPtr HttpClient::takeIdle(const Endpoint &endpoint, Duration mostIdle)
+HttpClient::ConnectionPtr HttpClient::takeIdle(const Endpoint &endpoint, Duration maxIdle)
 {
     const auto now = std::chrono::steady_clock::now();
     const auto pool = idle_.find(endpoint);
@@ -135,7 +135,7 @@
         ConnectionPtr connection = std::move(pool->second.back());
         pool->second.pop_back();
         const Duration idle = now - connection->idleSince;
-        if (idle <= mostIdle && idle < connection->keptFor && connection->isClean()) {
+        if (idle <= maxIdle && idle < connection->keepAliveTimeout && connection->isClean()) {
             return connection;
         }
     }
@@ -161,21 +161,21 @@
     return {};
 }
 
-HttpClient::Answer HttpClient::readAnswer(Connection &connection, const HttpRequest &request,
-                                          const ExchangeOptions &options)
+HttpClient::ExchangeResult HttpClient::readResponse(Connection &connection, const HttpRequest &request,
+                                                    const ExchangeOptions &options)
 {
-    for (int strays = 0; strays <= mostStrayAnswers; ++strays) {
+    for (int mismatched = 0; mismatched <= maxMismatchedResponses; ++mismatched) {
         http::response_parser<http::string_body> parser;
         parser.body_limit(std::numeric_limits<std::uint32_t>::max());
         if (request.method == "HEAD") {
             parser.skip(true);
         }
         IoResult read;
-        if (options.bodyAllowed > Duration(0)) {
+        if (options.bodyTimeout > Duration(0)) {
             read = await([&](auto handle) {
                 http::async_read_header(connection.stream, connection.buffer, parser, std::move(handle));
             });
-            connection.stream.expires_after(options.bodyAllowed);
+            connection.stream.expires_after(options.bodyTimeout);
         }
         if (!read.error) {
             read = await([&](auto handle) {
@@ -185,7 +185,8 @@
         if (read.error) {
             const ExchangeFailure failure = failureOf(read.error);
             const bool midway = parser.is_header_done() && failure != ExchangeFailure::Timeout;
-            return tl::unexpected<ExchangeError>(ExchangeError{midway ? ExchangeFailure::Cut : failure, true, false});
+            return tl::unexpected<ExchangeError>(
+                ExchangeError{midway ? ExchangeFailure::Truncated : failure, true, false});
         }
         auto answer = parser.release();
         constexpr unsigned firstFinalStatus = 200;
@@ -200,52 +201,52 @@
             }
         }
         response.body = std::move(answer.body());
-        const bool belongs = !options.belongs || options.belongs(response);
+        const bool matchesRequest = !options.matchesRequest || options.matchesRequest(response);
         // A surplus byte, or an answer to another request, means that the peer's idea of the order differs from ours.
-        connection.reusable = answer.keep_alive() && connection.buffer.size() == 0 && strays == 0 && belongs;
+        connection.reusable = answer.keep_alive() && connection.buffer.size() == 0 && mismatched == 0 && matchesRequest;
         const std::int64_t seconds = keepAliveSeconds(answer[http::field::keep_alive]);
         if (seconds >= 0) {
-            connection.keptFor = std::max(Millis(0), std::chrono::seconds(seconds) - keepAliveMargin);
+            connection.keepAliveTimeout = std::max(Millis(0), std::chrono::seconds(seconds) - keepAliveMargin);
         }
-        if (belongs) {
+        if (matchesRequest) {
             return response;
         }
         if (!answer.keep_alive()) {
             break;
         }
     }
-    return tl::unexpected<ExchangeError>(ExchangeError{ExchangeFailure::Garbled, true, false});
+    return tl::unexpected<ExchangeError>(ExchangeError{ExchangeFailure::Malformed, true, false});
 }
 
-void HttpClient::keep(const Endpoint &endpoint, ConnectionPtr connection)
+void HttpClient::returnToPool(const Endpoint &endpoint, ConnectionPtr connection)
 {
     auto &pool = idle_[endpoint];
-    if (pool.size() < idleConnectionsKept) {
+    if (pool.size() < maxIdleConnections) {
         connection->stream.expires_never();
         connection->idleSince = std::chrono::steady_clock::now();
         pool.push_back(std::move(connection));
     }
 }
 
-HttpClient::Answer HttpClient::exchange(const Endpoint &endpoint, const HttpRequest &request, Duration allowed,
-                                        ExchangeCancel *cancel)
+HttpClient::ExchangeResult HttpClient::exchange(const Endpoint &endpoint, const HttpRequest &request, Duration timeout,
+                                                ExchangeCancel *cancel)
 {
     ExchangeOptions options;
-    options.allowed = allowed;
+    options.timeout = timeout;
     options.cancel = cancel;
     return exchange(endpoint, request, options);
 }
 
-HttpClient::Answer HttpClient::exchange(const Endpoint &endpoint, const HttpRequest &request,
-                                        const ExchangeOptions &options)
+HttpClient::ExchangeResult HttpClient::exchange(const Endpoint &endpoint, const HttpRequest &request,
+                                                const ExchangeOptions &options)
 {
-    ConnectionPtr connection = options.fresh ? nullptr : takeIdle(endpoint, options.mostIdle);
-    const bool kept = connection != nullptr;
-    if (!kept) {
+    ConnectionPtr connection = options.newConnection ? nullptr : takeIdle(endpoint, options.maxIdle);
+    const bool reused = connection != nullptr;
+    if (!reused) {
         connection = std::make_shared<Connection>(ioContext_);
     }
-    const auto failed = [kept](ExchangeFailure failure, bool sent) {
-        return tl::unexpected<ExchangeError>(ExchangeError{failure, sent, kept});
+    const auto failed = [reused](ExchangeFailure failure, bool sent) {
+        return tl::unexpected<ExchangeError>(ExchangeError{failure, sent, reused});
     };
     bool cancelled = false;
     if (options.cancel != nullptr) {
@@ -263,8 +264,8 @@
             }
         }
     } const guard{options.cancel};
-    connection->stream.expires_after(options.allowed);
-    if (!kept) {
+    connection->stream.expires_after(options.timeout);
+    if (!reused) {
         const auto connected = connect(*connection, endpoint);
         if (!connected || cancelled) {
             return failed(cancelled ? ExchangeFailure::Timeout : connected.error().failure, false);
@@ -279,7 +280,7 @@
     writing->message = toBeast(endpoint, request);
     http::async_write(connection->stream, writing->message,
                       [writing, connection](beast::error_code error, std::size_t) { writing->done = !error; });
-    Answer answer = readAnswer(*connection, request, options);
+    ExchangeResult answer = readResponse(*connection, request, options);
     if (cancelled) {
         return failed(ExchangeFailure::Timeout, true);
     }
@@ -287,35 +288,35 @@
         connection->stream.close();
         return failed(answer.error().failure, true);
     }
-    if (connection->reusable && writing->done && !options.fresh) {
-        keep(endpoint, connection);
+    if (connection->reusable && writing->done && !options.newConnection) {
+        returnToPool(endpoint, connection);
     } else {
         connection->stream.close();
     }
     return answer;
 }
 
-bool HttpClient::accepts(const Endpoint &endpoint, Duration allowed)
+bool HttpClient::acceptsConnections(const Endpoint &endpoint, Duration timeout)
 {
     boost::system::error_code error;
     const auto ip = boost::asio::ip::make_address(endpoint.address, error);
     Connection connection(ioContext_);
-    connection.stream.expires_after(allowed);
+    connection.stream.expires_after(timeout);
     const IoResult connected = await(
         [&](auto handle) { connection.stream.async_connect(tcp::endpoint(ip, endpoint.port), std::move(handle)); });
     return !error && !connected.error;
 }
 
-bool HttpClient::hasEnded(const Endpoint &endpoint)
+bool HttpClient::hasStoppedListening(const Endpoint &endpoint)
 {
-    if (!accepts(endpoint, aliveProbe)) {
+    if (!acceptsConnections(endpoint, connectProbeTimeout)) {
         return true;
     }
-    sleepFor(ioContext_, dyingPause);
-    return !accepts(endpoint, aliveProbe);
+    sleepFor(ioContext_, exitGrace);
+    return !acceptsConnections(endpoint, connectProbeTimeout);
 }
 
-void HttpClient::forget(const Endpoint &endpoint)
+void HttpClient::closeIdle(const Endpoint &endpoint)
 {
     idle_.erase(endpoint);
 }
--- a/src/http/HttpClient.h
+++ b/src/http/HttpClient.h
@@ -24,9 +24,9 @@
     /** The time allowed ran out. */
     Timeout,
     /** The answer ended before its whole body had come. */
-    Cut,
+    Truncated,
     /** The answer was not HTTP. */
-    Garbled,
+    Malformed,
 };
 
 const char *exchangeFailureName(ExchangeFailure failure);
@@ -36,7 +36,7 @@
     ExchangeFailure failure = ExchangeFailure::Connect;
     bool mayHaveSentBytes = false;
     /** On a connection kept open from before, which the peer may have been closing already. */
-    bool onKeptConnection = false;
+    bool onReusedConnection = false;
 };
 
 /** Lets another fiber end an exchange early. Not thread safe. */
@@ -53,22 +53,22 @@
 
 /** What one exchange allows. */
 struct ExchangeOptions {
-    Duration allowed = std::chrono::seconds(1);
+    Duration timeout = std::chrono::seconds(1);
     /** Time for the body from the end of the headers on; zero: the body must come within @c allowed as well. */
-    Duration bodyAllowed = Duration(0);
+    Duration bodyTimeout = Duration(0);
     ExchangeCancel *cancel = nullptr;
     /**
      * Longest that a kept-open connection may have been idle. The peer closes idle connections, and a request that
      * crosses the close is lost without a word of whether it ran.
      */
-    Duration mostIdle = std::chrono::hours(1);
+    Duration maxIdle = std::chrono::hours(1);
     /** On a connection of its own, which is closed after the answer. */
-    bool fresh = false;
+    bool newConnection = false;
     /**
      * False for an answer that belongs to another request: it is dropped and the next one on the connection is read.
      * Empty: every answer is taken.
      */
-    std::function<bool(const HttpResponse &)> belongs;
+    std::function<bool(const HttpResponse &)> matchesRequest;
 };
 
 /**
@@ -84,9 +84,9 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /** Sends @p request and returns the whole answer. @pre called from a fiber; @p allowed > 0. */
+    /** Sends @p request and returns the whole answer. @pre called from a fiber; @p timeout > 0. */
     tl::expected<HttpResponse, ExchangeError> exchange(const Endpoint &endpoint, const HttpRequest &request,
-                                                       Duration allowed, ExchangeCancel *cancel = nullptr);
+                                                       Duration timeout, ExchangeCancel *cancel = nullptr);
     /**
      * As above. The answer is read while the request is still being written, so that a peer which answers before it
      * has read a long body is heard.
@@ -94,24 +94,25 @@
     tl::expected<HttpResponse, ExchangeError> exchange(const Endpoint &endpoint, const HttpRequest &request,
                                                        const ExchangeOptions &options);
     /** True if something accepts connections at @p endpoint. @pre called from a fiber. */
-    bool accepts(const Endpoint &endpoint, Duration allowed);
+    bool acceptsConnections(const Endpoint &endpoint, Duration timeout);
     /**
      * True if nobody listens at @p endpoint, or soon no more. A process that ends closes its connections before or
      * after its listener, as it comes: asked only once, a death went unseen now and then on a busy VM, and the request
      * that had caused it was given to a third server. @pre called from a fiber.
      */
-    bool hasEnded(const Endpoint &endpoint);
+    bool hasStoppedListening(const Endpoint &endpoint);
     /** Closes kept-open connections to @p endpoint. */
-    void forget(const Endpoint &endpoint);
+    void closeIdle(const Endpoint &endpoint);
 
 private:
     struct Connection;
     using ConnectionPtr = std::shared_ptr<Connection>;
-    using Answer = tl::expected<HttpResponse, ExchangeError>;
-    ConnectionPtr takeIdle(const Endpoint &endpoint, Duration mostIdle);
+    using ExchangeResult = tl::expected<HttpResponse, ExchangeError>;
+    ConnectionPtr takeIdle(const Endpoint &endpoint, Duration maxIdle);
     tl::expected<void, ExchangeError> connect(Connection &connection, const Endpoint &endpoint);
-    static Answer readAnswer(Connection &connection, const HttpRequest &request, const ExchangeOptions &options);
-    void keep(const Endpoint &endpoint, ConnectionPtr connection);
+    static ExchangeResult readResponse(Connection &connection, const HttpRequest &request,
+                                       const ExchangeOptions &options);
+    void returnToPool(const Endpoint &endpoint, ConnectionPtr connection);
 
     boost::asio::io_context &ioContext_;
     std::map<Endpoint, std::vector<ConnectionPtr>> idle_;
