--- a/src/http/HttpConnection.cpp
+++ b/src/http/HttpConnection.cpp
@@ -20,7 +20,7 @@
  * Bytes read ahead of the request that is being worked on. Reading on is how a caller's leaving is noticed; a caller
  * that sends more than this without waiting for answers is simply not read.
  */
-constexpr std::size_t mostReadAhead = 64UL * 1024;
+constexpr std::size_t maxReadAhead = 64UL * 1024;
 /**
  * After a refusal what still comes in is read for so long and so much: closing a connection with unread bytes resets
  * it, and the reset may overtake the refusal.
@@ -31,7 +31,7 @@
 constexpr unsigned tooLarge = 413;
 constexpr unsigned headersTooLarge = 431;
 /** For waits that an event ends. */
-constexpr Duration untilWoken = std::chrono::hours(1);
+constexpr Duration noTimeout = std::chrono::hours(1);
 
 SteadyTime now()
 {
@@ -39,7 +39,7 @@
 }
 
 /** Why a message that the parser takes must not be served; empty if it may be. */
-std::string strictFault(const http::request<http::string_body> &message)
+std::string framingError(const http::request<http::string_body> &message)
 {
     const auto hosts = message.count(http::field::host);
     if (message.version() >= 11 && hosts != 1) {
@@ -99,7 +99,7 @@
     message.keep_alive(keepAlive);
     message.body() = std::move(reply.response.body);
     message.prepare_payload();
-    if (reply.after == AfterResponse::CutBody) {
+    if (reply.after == AfterResponse::TruncateBody) {
         message.body().resize(message.body().size() / 2);
     }
     return message;
@@ -122,46 +122,46 @@
     socket_.non_blocking(true, ignored);
 }
 
-void HttpConnection::wake()
+void HttpConnection::onDrain()
 {
-    point_.wake();
+    notifier_.notify();
 }
 
 void HttpConnection::readAhead()
 {
-    if (reading_ || inputEnded_ || input_.size() >= mostReadAhead) {
+    if (reading_ || inputEnded_ || input_.size() >= maxReadAhead) {
         return;
     }
     reading_ = true;
-    socket_.async_read_some(boost::asio::buffer(step_),
+    socket_.async_read_some(boost::asio::buffer(readBuffer_),
                             [self = shared_from_this()](boost::system::error_code error, std::size_t bytes) {
-                                self->takeInput(error, bytes);
+                                self->onInput(error, bytes);
                             });
 }
 
-void HttpConnection::takeInput(boost::system::error_code error, std::size_t bytes)
+void HttpConnection::onInput(boost::system::error_code error, std::size_t bytes)
 {
     reading_ = false;
     if (discarding_) {
         discarded_ += bytes;
     } else if (bytes > 0) {
-        input_.commit(boost::asio::buffer_copy(input_.prepare(bytes), boost::asio::buffer(step_, bytes)));
+        input_.commit(boost::asio::buffer_copy(input_.prepare(bytes), boost::asio::buffer(readBuffer_, bytes)));
     }
     if (error) {
         inputEnded_ = true;
-        callerLeft();
+        onCallerDisconnected();
     }
     readAhead();
-    point_.wake();
+    notifier_.notify();
 }
 
-void HttpConnection::callerLeft()
+void HttpConnection::onCallerDisconnected()
 {
     const std::deque<ExchangePtr> waiting = exchanges_;
     for (const ExchangePtr &exchange : waiting) {
-        const std::function<void()> hook = std::move(exchange->watch->onGone);
-        exchange->watch->onGone = {};
-        exchange->watch->gone = true;
+        const std::function<void()> hook = std::move(exchange->watch->onDisconnect);
+        exchange->watch->onDisconnect = {};
+        exchange->watch->disconnected = true;
         if (hook) {
             hook();
         }
@@ -172,12 +172,12 @@
 {
     const std::size_t before = input_.size();
     readAhead();
-    while (input_.size() == before && !inputEnded_ && !over_) {
+    while (input_.size() == before && !inputEnded_ && !responsesDone_) {
         const Duration left = until - now();
         if (left <= Duration(0)) {
             return false;
         }
-        point_.wait(server_->ioContext, left);
+        notifier_.wait(server_->ioContext, left);
     }
     return input_.size() > before;
 }
@@ -185,13 +185,13 @@
 bool HttpConnection::takesRequests() const
 {
     const bool ending = server_->draining || (server_->closing && !exchanges_.empty());
-    return !over_ && !noMore_ && !inputEnded_ && !ending;
+    return !responsesDone_ && !requestsDone_ && !inputEnded_ && !ending;
 }
 
 bool HttpConnection::awaitUntil(const std::function<bool()> &ready)
 {
     while (takesRequests() && !ready()) {
-        point_.wait(server_->ioContext, untilWoken);
+        notifier_.wait(server_->ioContext, noTimeout);
     }
     return takesRequests();
 }
@@ -200,21 +200,21 @@
 {
     readAhead();
     while (takesRequests() && input_.size() == 0) {
-        const Duration left = exchanges_.empty() ? idleSince_ + server_->limits.idle - now() : untilWoken;
+        const Duration left = exchanges_.empty() ? idleSince_ + server_->limits.idleTimeout - now() : noTimeout;
         if (left <= Duration(0)) {
             return false;
         }
-        point_.wait(server_->ioContext, left);
+        notifier_.wait(server_->ioContext, left);
     }
     return takesRequests();
 }
 
-void HttpConnection::refuse(unsigned status, const std::string &message)
+void HttpConnection::reject(unsigned status, const std::string &message)
 {
     if (server_->onReject) {
         server_->onReject(message);
     }
-    noMore_ = true;
+    requestsDone_ = true;
     HttpReply reply{jsonResponse(status, "{\"error\":\"" + message + "\"}\n"), AfterResponse::Close};
     reply.response.headers.emplace_back("Waxwing-Outcome", "not-run");
     const auto exchange = std::make_shared<Exchange>();
@@ -238,28 +238,28 @@
     http::request_parser<http::string_body> parser;
     parser.header_limit(server_->limits.headerBytes);
     parser.body_limit(server_->limits.bodyBytes);
-    SteadyTime until = now() + server_->limits.header;
+    SteadyTime until = now() + server_->limits.headerTimeout;
     bool headerSeen = false;
     while (!parser.is_done()) {
         beast::error_code error;
         input_.consume(parser.put(input_.data(), error));
         if (error && error != http::error::need_more) {
             const bool tooLong = error == http::error::header_limit;
-            refuse(error == http::error::body_limit ? tooLarge : (tooLong ? headersTooLarge : badRequest),
+            reject(error == http::error::body_limit ? tooLarge : (tooLong ? headersTooLarge : badRequest),
                    error.message());
             return std::nullopt;
         }
         if (parser.is_header_done() && !headerSeen) {
             headerSeen = true;
-            const std::string fault = strictFault(parser.get());
+            const std::string fault = framingError(parser.get());
             if (!fault.empty() || !toOriginForm(parser.get())) {
-                refuse(badRequest, fault.empty() ? "malformed target" : fault);
+                reject(badRequest, fault.empty() ? "malformed target" : fault);
                 return std::nullopt;
             }
             if (!parser.is_done() && beast::iequals(parser.get()[http::field::expect], "100-continue")) {
                 confirmContinue();
             }
-            until = now() + server_->limits.message;
+            until = now() + server_->limits.messageTimeout;
             parser.eager(true);
             continue;
         }
@@ -281,14 +281,15 @@
     exchanges_.push_back(exchange);
     ++server_->inFlight;
     spawnFiber([self = shared_from_this(), exchange, request = std::move(request)]() mutable {
-        const bool gone = exchange->watch->gone;
-        self->finish(exchange, gone ? HttpReply{} : self->server_->handler(std::move(request), exchange->watch));
+        const bool disconnected = exchange->watch->disconnected;
+        self->finish(exchange,
+                     disconnected ? HttpReply{} : self->server_->handler(std::move(request), exchange->watch));
     });
 }
 
 void HttpConnection::finish(const ExchangePtr &exchange, HttpReply reply)
 {
-    exchange->watch->onGone = {};
+    exchange->watch->onDisconnect = {};
     bytesHeld_ -= exchange->bytes;
     exchange->bytes = reply.response.body.size();
     bytesHeld_ += exchange->bytes;
@@ -297,9 +298,9 @@
     writeReady();
 }
 
-bool HttpConnection::isLastAnswer(const HttpReply &reply) const
+bool HttpConnection::isLastResponse(const HttpReply &reply) const
 {
-    const bool ending = noMore_ || server_->closing || server_->draining;
+    const bool ending = requestsDone_ || server_->closing || server_->draining;
     return reply.after != AfterResponse::KeepOpen || (ending && exchanges_.size() == 1);
 }
 
@@ -311,22 +312,22 @@
     writing_ = true;
     while (!exchanges_.empty() && exchanges_.front()->done) {
         const ExchangePtr exchange = exchanges_.front();
-        if (!over_) {
-            const bool last = isLastAnswer(exchange->reply);
+        if (!responsesDone_) {
+            const bool last = isLastResponse(exchange->reply);
             // Decided before the first byte goes out: no request is begun behind a closing response.
-            noMore_ = noMore_ || last;
-            over_ = !write(std::move(exchange->reply), !last) || last;
+            requestsDone_ = requestsDone_ || last;
+            responsesDone_ = !write(std::move(exchange->reply), !last) || last;
         }
         bytesHeld_ -= exchange->bytes;
         --server_->inFlight;
         exchanges_.pop_front();
-        if (over_) {
-            callerLeft();
+        if (responsesDone_) {
+            onCallerDisconnected();
         }
     }
     writing_ = false;
     idleSince_ = now();
-    point_.wake();
+    notifier_.notify();
 }
 
 bool HttpConnection::write(HttpReply reply, bool keepAlive)
@@ -337,7 +338,7 @@
         socket_.close(ignored);
         return false;
     }
-    const bool cut = reply.after == AfterResponse::CutBody;
+    const bool cut = reply.after == AfterResponse::TruncateBody;
     const auto message = toBeast(std::move(reply), keepAlive);
     http::response_serializer<http::string_body> serializer(message);
     while (!serializer.is_done()) {
@@ -357,7 +358,7 @@
 boost::system::error_code HttpConnection::writeSome(Serializer &serializer)
 {
     // A caller may take long for a large answer; it is given up when it takes nothing at all for so long.
-    boost::asio::steady_timer timer(server_->ioContext, server_->limits.message);
+    boost::asio::steady_timer timer(server_->ioContext, server_->limits.messageTimeout);
     timer.async_wait([self = shared_from_this()](boost::system::error_code error) {
         if (!error) {
             boost::system::error_code ignored;
@@ -372,32 +373,32 @@
 void HttpConnection::serve()
 {
     while (awaitFirstByte()) {
-        const std::size_t most = server_->limits.pipelinedRequests;
-        const std::uint64_t mostBytes = server_->limits.pipelinedBytes;
-        if (!awaitUntil([&] { return exchanges_.size() < most && bytesHeld_ < mostBytes; })) {
+        const std::size_t maxPipelined = server_->limits.pipelinedRequests;
+        const std::uint64_t maxPipelinedBytes = server_->limits.pipelinedBytes;
+        if (!awaitUntil([&] { return exchanges_.size() < maxPipelined && bytesHeld_ < maxPipelinedBytes; })) {
             break;
         }
         std::optional<ReadRequest> read = readRequest();
         if (!read) {
             break;
         }
-        const bool alone = !isSafeMethod(read->request.method);
-        while (alone && !over_ && !exchanges_.empty()) {
-            point_.wait(server_->ioContext, untilWoken);
+        const bool exclusive = !isSafeMethod(read->request.method);
+        while (exclusive && !responsesDone_ && !exchanges_.empty()) {
+            notifier_.wait(server_->ioContext, noTimeout);
         }
         // Read, but behind a response that closes: it is not run, and its caller sends it again.
-        if (over_ || inputEnded_) {
+        if (responsesDone_ || inputEnded_) {
             break;
         }
-        noMore_ = read->last;
+        requestsDone_ = read->last;
         begin(std::move(read->request));
-        if (alone && !awaitUntil([this] { return exchanges_.empty(); })) {
+        if (exclusive && !awaitUntil([this] { return exchanges_.empty(); })) {
             break;
         }
     }
-    noMore_ = true;
+    requestsDone_ = true;
     while (!exchanges_.empty()) {
-        point_.wait(server_->ioContext, untilWoken);
+        notifier_.wait(server_->ioContext, noTimeout);
     }
     lingerAndClose();
 }
@@ -411,9 +412,9 @@
     const SteadyTime until = now() + lingerTime;
     // What the caller sent behind the last answer is read and dropped: unread it would turn the close into a reset,
     // which may destroy that answer on its way.
-    while (over_ && !inputEnded_ && discarded_ < lingerBytes && now() < until) {
+    while (responsesDone_ && !inputEnded_ && discarded_ < lingerBytes && now() < until) {
         readAhead();
-        point_.wait(server_->ioContext, until - now());
+        notifier_.wait(server_->ioContext, until - now());
     }
     socket_.close(ignored);
     inputEnded_ = true;
--- a/src/http/HttpConnection.h
+++ b/src/http/HttpConnection.h
@@ -45,7 +45,7 @@
     /** Serves until the connection has ended. @pre called from a fiber, once. */
     void serve();
     /** The server drains: a connection that waits for its next request ends. */
-    void wake();
+    void onDrain();
 
 private:
     /** A request that was read, until its answer is written. */
@@ -66,9 +66,9 @@
 
     /** Reads on, unless a read is under way or enough was read ahead. */
     void readAhead();
-    void takeInput(boost::system::error_code error, std::size_t bytes);
+    void onInput(boost::system::error_code error, std::size_t bytes);
     /** Nobody waits for answers any more: tells the handlers. */
-    void callerLeft();
+    void onCallerDisconnected();
     /** Waits for more input until @p until. False if none will come, or not in time. */
     bool awaitInput(SteadyTime until);
     /** Waits for the first byte of the next request. False if there is none to wait for. */
@@ -78,7 +78,7 @@
     std::optional<ReadRequest> readRequest();
     void confirmContinue();
     /** Answers what can't be served, as the last answer of this connection. */
-    void refuse(unsigned status, const std::string &message);
+    void reject(unsigned status, const std::string &message);
     void begin(HttpRequest request);
     void finish(const ExchangePtr &exchange, HttpReply reply);
     /** Writes the answers that are next in order and ready. */
@@ -87,14 +87,14 @@
     bool write(HttpReply reply, bool keepAlive);
     /** Writes a part when the caller takes it. */
     boost::system::error_code writeSome(Serializer &serializer);
-    bool isLastAnswer(const HttpReply &reply) const;
+    bool isLastResponse(const HttpReply &reply) const;
     bool takesRequests() const;
     void lingerAndClose();
 
     boost::asio::ip::tcp::socket socket_;
     std::shared_ptr<HttpShared> server_;
-    WaitPoint point_;
-    std::array<char, 4096> step_{};
+    FiberNotifier notifier_;
+    std::array<char, 4096> readBuffer_{};
     boost::beast::flat_buffer input_;
     bool reading_ = false;
     bool inputEnded_ = false;
@@ -103,9 +103,9 @@
     SteadyTime idleSince_;
     bool writing_ = false;
     /** No further request is read: the caller said so, or one could not be read. */
-    bool noMore_ = false;
+    bool requestsDone_ = false;
     /** The last answer was written, or writing failed. */
-    bool over_ = false;
+    bool responsesDone_ = false;
     /** Input is read only to be dropped, and how much was. */
     bool discarding_ = false;
     std::size_t discarded_ = 0;
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -144,7 +144,7 @@
     boost::system::error_code ignored;
     state_->acceptor.close(ignored);
     for (const auto &connection : state_->open) {
-        connection->wake();
+        connection->onDrain();
     }
 }
 
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -20,11 +20,11 @@
     std::uint64_t bodyBytes = 1024UL * 1024;
     std::size_t connections = 20000;
     /** How long a connection may wait for its next request. */
-    Millis idle = std::chrono::seconds(60);
+    Millis idleTimeout = std::chrono::seconds(60);
     /** How long a request's headers may take from their first byte. */
-    Millis header = std::chrono::seconds(15);
+    Millis headerTimeout = std::chrono::seconds(15);
     /** How long a body may take, and how long a caller may take nothing of its response. */
-    Millis message = std::chrono::seconds(15);
+    Millis messageTimeout = std::chrono::seconds(15);
     /** Requests of one connection that are worked on at once, and the bytes of bodies held for them. */
     std::uint32_t pipelinedRequests = 16;
     std::uint64_t pipelinedBytes = 1024UL * 1024;
@@ -38,7 +38,7 @@
     KeepOpen,
     Close,
     /** Sends only the first half of the body, then resets. For stand-ins that produce faults. */
-    CutBody,
+    TruncateBody,
     /** Sends nothing and resets. For stand-ins that produce faults. */
     Reset,
 };
@@ -50,9 +50,9 @@
 
 /** Tells a handler that its caller closed the connection, so that nobody waits for the answer any more. */
 struct CallerWatch {
-    bool gone = false;
+    bool disconnected = false;
     /** Set by the handler, called at most once. */
-    std::function<void()> onGone;
+    std::function<void()> onDisconnect;
 };
 
 using CallerWatchPtr = std::shared_ptr<CallerWatch>;
--- a/src/intent/ClassIntent.cpp
+++ b/src/intent/ClassIntent.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::uint32_t mostFloorServers = 100000;
-constexpr std::size_t mostRoutesOfClass = 1000;
+constexpr std::uint32_t maxFloorServers = 100000;
+constexpr std::size_t maxRoutesPerClass = 1000;
 
 bool namesWeightOrAddress(const std::string &key)
 {
@@ -42,7 +42,7 @@
         return floor;
     }
     if (text.back() == '%') {
-        const auto share = parseShare(text);
+        const auto share = parsePercentage(text);
         if (!share) {
             findings.add(place, share.error().message);
             return floor;
@@ -56,7 +56,7 @@
                         && std::all_of(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(at),
                                        [](char c) { return c >= '0' && c <= '9'; });
     const unsigned long count = digits ? std::stoul(text.substr(0, at)) : 0;
-    if (!digits || count > mostFloorServers) {
+    if (!digits || count > maxFloorServers) {
         findings.add(place, "must be a count such as \"8 servers\" or a share such as \"60%\"");
         return floor;
     }
@@ -64,15 +64,15 @@
     return floor;
 }
 
-EjectionCare parseCare(const std::string &text, const std::string &place, Findings &findings)
+EjectionPolicy parseEjectionPolicy(const std::string &text, const std::string &place, Findings &findings)
 {
-    for (const EjectionCare care : {EjectionCare::Fast, EjectionCare::Balanced, EjectionCare::Careful}) {
-        if (text == ejectionCareName(care)) {
-            return care;
+    for (const EjectionPolicy policy : {EjectionPolicy::Fast, EjectionPolicy::Balanced, EjectionPolicy::Careful}) {
+        if (text == ejectionPolicyName(policy)) {
+            return policy;
         }
     }
     findings.add(place, "must be \"fast\", \"balanced\" or \"careful\"");
-    return EjectionCare::Balanced;
+    return EjectionPolicy::Balanced;
 }
 
 RouteRule parseRoute(const nlohmann::json &value, const std::string &place, Findings &findings)
@@ -104,15 +104,15 @@
 {
     ClassIntent intent;
     intent.name = name;
-    if (!isName(name)) {
+    if (!isValidName(name)) {
         findings.add(place, "a class name is 1 to 63 letters, digits, '-', '_' or '.'");
     }
     JsonReader reader(value, place, findings);
     rejectWeightsAndAddresses(value, place, findings);
     const nlohmann::json &routes = reader.child("routes");
-    if (!routes.is_array() || routes.empty() || routes.size() > mostRoutesOfClass) {
+    if (!routes.is_array() || routes.empty() || routes.size() > maxRoutesPerClass) {
         findings.add(reader.placeOf("routes"),
-                     "must be a list of 1 to " + std::to_string(mostRoutesOfClass) + " routes");
+                     "must be a list of 1 to " + std::to_string(maxRoutesPerClass) + " routes");
     } else {
         for (std::size_t i = 0; i < routes.size(); ++i) {
             const std::string routePlace = reader.placeOf("routes") + "/" + std::to_string(i);
@@ -122,12 +122,12 @@
     if (!reader.has("idempotent")) {
         findings.add(reader.placeOf("idempotent"), "is missing: say whether running a request twice does harm");
     }
-    intent.idempotent = reader.flag("idempotent", false);
+    intent.idempotent = reader.boolean("idempotent", false);
     intent.responseTime = reader.duration("responseTime", intent.responseTime, Millis(1), std::chrono::hours(1));
-    intent.successRate = reader.share("successRate", intent.successRate);
+    intent.successRate = reader.percentage("successRate", intent.successRate);
     intent.floor =
         parseFloor(reader.text("healthyCapacityFloor", "50%"), reader.placeOf("healthyCapacityFloor"), findings);
-    intent.care = parseCare(reader.text("ejection", "balanced"), reader.placeOf("ejection"), findings);
+    intent.policy = parseEjectionPolicy(reader.text("ejection", "balanced"), reader.placeOf("ejection"), findings);
     intent.deadline = reader.duration("deadline", std::max<Millis>(intent.deadline, intent.responseTime * 2), Millis(1),
                                       std::chrono::hours(1));
     if (intent.deadline < intent.responseTime) {
@@ -176,14 +176,14 @@
 
 } // namespace
 
-const char *ejectionCareName(EjectionCare care)
+const char *ejectionPolicyName(EjectionPolicy policy)
 {
-    switch (care) {
-    case EjectionCare::Fast:
+    switch (policy) {
+    case EjectionPolicy::Fast:
         return "fast";
-    case EjectionCare::Balanced:
+    case EjectionPolicy::Balanced:
         return "balanced";
-    case EjectionCare::Careful:
+    case EjectionPolicy::Careful:
         return "careful";
     }
     return "balanced";
@@ -225,7 +225,7 @@
 {
     ServiceIntent intent;
     intent.service = service;
-    if (!isName(service)) {
+    if (!isValidName(service)) {
         findings.add("/", "a service name is 1 to 63 letters, digits, '-', '_' or '.'");
     }
     JsonReader reader(document, "", findings);
--- a/src/limit/RouteOrigins.cpp
+++ b/src/limit/RouteOrigins.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /** One chance in about ten thousand that callers' requests came from these VMs only. */
-constexpr double enoughEvidence = 9.0;
+constexpr double evidenceThreshold = 9.0;
 /** A zone whose VMs all belong to the calling services says nothing; no request is worth more than this. */
-constexpr double leastShare = 0.05;
+constexpr double minShare = 0.05;
 /** Counts start anew from here on: configurations change what services call. */
-constexpr std::uint32_t mostCounted = 2000;
+constexpr std::uint32_t maxCounted = 2000;
 
 } // namespace
 
@@ -23,7 +23,7 @@
 void RouteOrigins::note(const std::string &route, const std::string &zone, const std::string &service)
 {
     Origins &origins = routes_[route];
-    if (origins.requests >= mostCounted) {
+    if (origins.requests >= maxCounted) {
         origins = Origins();
     }
     origins.services.insert(service);
@@ -31,7 +31,7 @@
     ++origins.requests;
 }
 
-bool RouteOrigins::isInnerCall(const std::string &route) const
+bool RouteOrigins::isNestedCall(const std::string &route) const
 {
     const auto found = routes_.find(route);
     if (found == routes_.end()) {
@@ -39,10 +39,10 @@
     }
     double evidence = 0.0;
     for (const auto &[zone, requests] : found->second.requestsByZone) {
-        const double share = std::clamp(shareOf_(zone, found->second.services), leastShare, 1.0);
+        const double share = std::clamp(shareOf_(zone, found->second.services), minShare, 1.0);
         evidence -= requests * std::log(share);
     }
-    return evidence >= enoughEvidence;
+    return evidence >= evidenceThreshold;
 }
 
 } // namespace waxwing
--- a/src/limit/SecondSendBudget.cpp
+++ b/src/limit/SecondSendBudget.cpp
@@ -4,94 +4,94 @@
 
 namespace waxwing {
 
-SecondSendBudget::SecondSendBudget(SecondSendTuning tuning)
+FleetRetryBudget::FleetRetryBudget(FleetRetryTuning tuning)
     : tuning_(tuning)
 { }
 
-std::int64_t SecondSendBudget::numberAt(SteadyTime now) const
+std::int64_t FleetRetryBudget::numberAt(SteadyTime now) const
 {
     const Duration step = std::chrono::duration_cast<Duration>(tuning_.window) / static_cast<std::int64_t>(steps);
     return now.time_since_epoch() / step;
 }
 
-SecondSendBudget::Step &SecondSendBudget::stepAt(SteadyTime now)
+FleetRetryBudget::Step &FleetRetryBudget::stepAt(SteadyTime now)
 {
     const std::int64_t number = numberAt(now);
-    Step &step = ring_[static_cast<std::size_t>(number) % ring_.size()];
+    Step &step = steps_[static_cast<std::size_t>(number) % steps_.size()];
     if (step.number != number) {
         step = Step{number, 0, 0.0};
     }
     return step;
 }
 
-void SecondSendBudget::noteRequest(SteadyTime now)
+void FleetRetryBudget::noteRequest(SteadyTime now)
 {
     ++stepAt(now).requests;
 }
 
-double SecondSendBudget::left(std::size_t nodes, SecondSend purpose, SteadyTime now) const
+double FleetRetryBudget::remaining(std::size_t nodes, RetryReason reason, SteadyTime now) const
 {
     const std::int64_t oldest = numberAt(now) - static_cast<std::int64_t>(steps);
     double requests = 0.0;
-    double seconds = 0.0;
-    for (const Step &step : ring_) {
+    double retries = 0.0;
+    for (const Step &step : steps_) {
         if (step.number >= oldest) {
             requests += step.requests;
-            seconds += step.seconds;
+            retries += step.retries;
         }
     }
     const double slack = tuning_.slack / static_cast<double>(std::max<std::size_t>(1, nodes));
-    const double part =
-        purpose == SecondSend::AfterFailure ? tuning_.usedPart : tuning_.usedPart * (1.0 - tuning_.reservedPart);
-    return part * (tuning_.share * requests + slack) - seconds;
+    const double part = reason == RetryReason::Failure ? tuning_.usableFraction
+                                                       : tuning_.usableFraction * (1.0 - tuning_.reservedFraction);
+    return part * (tuning_.share * requests + slack) - retries;
 }
 
-double SecondSendBudget::credit(SteadyTime now) const
+double FleetRetryBudget::transferredTokens(SteadyTime now) const
 {
-    double sends = 0.0;
-    for (const Loan &loan : loans_) {
-        sends += now < loan.until ? loan.sends : 0.0;
+    double tokens = 0.0;
+    for (const Transfer &transfer : transfers_) {
+        tokens += now < transfer.until ? transfer.tokens : 0.0;
     }
-    return sends;
+    return tokens;
 }
 
-bool SecondSendBudget::has(double sends, std::size_t nodes, SecondSend purpose, SteadyTime now) const
+bool FleetRetryBudget::has(double tokens, std::size_t nodes, RetryReason reason, SteadyTime now) const
 {
-    return sends <= std::max(0.0, left(nodes, purpose, now)) + credit(now);
+    return tokens <= std::max(0.0, remaining(nodes, reason, now)) + transferredTokens(now);
 }
 
-void SecondSendBudget::take(double sends, SteadyTime now)
+void FleetRetryBudget::take(double tokens, SteadyTime now)
 {
-    while (!loans_.empty() && now >= loans_.front().until) {
-        loans_.pop_front();
+    while (!transfers_.empty() && now >= transfers_.front().until) {
+        transfers_.pop_front();
     }
     // What is borrowed goes first: it is void in a moment.
-    double own = sends;
-    for (Loan &loan : loans_) {
-        const double used = std::min(own, loan.sends);
-        loan.sends -= used;
+    double own = tokens;
+    for (Transfer &transfer : transfers_) {
+        const double used = std::min(own, transfer.tokens);
+        transfer.tokens -= used;
         own -= used;
     }
-    stepAt(now).seconds += own;
+    stepAt(now).retries += own;
 }
 
-void SecondSendBudget::giveBack(double sends, SteadyTime now)
+void FleetRetryBudget::refund(double tokens, SteadyTime now)
 {
     Step &step = stepAt(now);
-    step.seconds = std::max(0.0, step.seconds - sends);
+    step.retries = std::max(0.0, step.retries - tokens);
 }
 
-double SecondSendBudget::lend(double sends, SecondSend purpose, std::size_t nodes, SteadyTime now)
+double FleetRetryBudget::transferOut(double tokens, RetryReason reason, std::size_t nodes, SteadyTime now)
 {
-    constexpr double lentPart = 0.5;
-    const double lent = std::clamp(lentPart * left(nodes, purpose, now), 0.0, std::max(0.0, sends));
-    stepAt(now).seconds += lent;
-    return lent;
+    constexpr double maxFraction = 0.5;
+    const double transferred = std::clamp(maxFraction * remaining(nodes, reason, now), 0.0, std::max(0.0, tokens));
+    stepAt(now).retries += transferred;
+    return transferred;
 }
 
-void SecondSendBudget::borrow(double sends, SteadyTime now)
+void FleetRetryBudget::transferIn(double tokens, SteadyTime now)
 {
-    loans_.push_back(Loan{std::max(0.0, sends), now + tuning_.creditLife});
+    transfers_.push_back(Transfer{std::max(0.0, tokens), now + tuning_.transferLifetime});
 }
 
 } // namespace waxwing
--- a/src/link/LinkFramer.h
+++ b/src/link/LinkFramer.h
@@ -31,29 +31,29 @@
      * Takes a frame from the other end; a message once it is whole. Acknowledges parts, and sends on what waited for an
      * acknowledgement, by @p write. Errors: Malformed; Unavailable if @p write failed.
      */
-    Expected<std::optional<Message>> take(const std::string &frame, const Write &write);
+    Expected<std::optional<Message>> receive(const std::string &frame, const Write &write);
     /** Bytes of large bodies that wait for the other end. */
-    std::size_t bytesWaiting() const;
+    std::size_t queuedBytes() const;
 
 private:
-    struct Bulk {
+    struct ChunkedMessage {
         /** Without its body. */
         Message message;
         std::string body;
         std::size_t sent = 0;
     };
 
-    bool sendParts(const Write &write);
-    bool sendWhole(char kind, const Message &message, const Write &write);
-    Expected<std::optional<Message>> takePart(const std::string &frame, const Write &write);
-    Expected<std::optional<Message>> takeMessage(const std::string &frame, bool hasBody);
+    bool sendChunks(const Write &write);
+    bool writeMessage(char kind, const Message &message, const Write &write);
+    Expected<std::optional<Message>> receiveChunk(const std::string &frame, const Write &write);
+    Expected<std::optional<Message>> receiveMessage(const std::string &frame, bool hasBody);
 
     MessageDeflater deflater_;
     MessageInflater inflater_;
-    std::deque<Bulk> waiting_;
-    std::size_t unacknowledged_ = 0;
+    std::deque<ChunkedMessage> queue_;
+    std::size_t unackedChunks_ = 0;
     /** Parts that came for the message whose rest is still to come. */
-    std::string incoming_;
+    std::string receivedBody_;
 };
 
 } // namespace waxwing
--- a/src/link/MessageDeflate.cpp
+++ b/src/link/MessageDeflate.cpp
@@ -16,9 +16,9 @@
 constexpr int windowBits = -12;
 constexpr int memoryLevel = 5;
 constexpr int level = 6;
-constexpr std::size_t step = 4096;
+constexpr std::size_t bufferBytes = 4096;
 /** What each flush ends with; left out on the wire. */
-constexpr std::array<char, 4> flushEnd = {'\x00', '\x00', '\xff', '\xff'};
+constexpr std::array<char, 4> flushTrailer = {'\x00', '\x00', '\xff', '\xff'};
 
 Bytef *inputOf(const std::string &bytes)
 {
@@ -51,14 +51,14 @@
     z.next_in = inputOf(message);
     z.avail_in = static_cast<uInt>(message.size());
     std::string out;
-    std::array<char, step> buffer{};
+    std::array<char, bufferBytes> buffer{};
     do {
         z.next_out = reinterpret_cast<Bytef *>(buffer.data());
         z.avail_out = static_cast<uInt>(buffer.size());
         ::deflate(&z, Z_SYNC_FLUSH);
         out.append(buffer.data(), buffer.size() - z.avail_out);
     } while (z.avail_out == 0);
-    out.resize(out.size() - flushEnd.size());
+    out.resize(out.size() - flushTrailer.size());
     return out;
 }
 
@@ -79,15 +79,15 @@
     inflateEnd(&stream_->z);
 }
 
-Expected<std::string> MessageInflater::inflate(const std::string &bytes, std::size_t most)
+Expected<std::string> MessageInflater::inflate(const std::string &bytes, std::size_t maxBytes)
 {
     z_stream &z = stream_->z;
     std::string input = bytes;
-    input.append(flushEnd.data(), flushEnd.size());
+    input.append(flushTrailer.data(), flushTrailer.size());
     z.next_in = inputOf(input);
     z.avail_in = static_cast<uInt>(input.size());
     std::string out;
-    std::array<char, step> buffer{};
+    std::array<char, bufferBytes> buffer{};
     do {
         z.next_out = reinterpret_cast<Bytef *>(buffer.data());
         z.avail_out = static_cast<uInt>(buffer.size());
@@ -98,8 +98,8 @@
         }
         out.append(buffer.data(), buffer.size() - z.avail_out);
         // A few bytes of a hostile stream can stand for gigabytes.
-        if (out.size() > most) {
-            return fail(ErrorCode::Malformed, "message of more than " + std::to_string(most) + " bytes");
+        if (out.size() > maxBytes) {
+            return fail(ErrorCode::Malformed, "message of more than " + std::to_string(maxBytes) + " bytes");
         }
     } while (z.avail_out == 0);
     return out;
--- a/src/link/MessageDeflate.h
+++ b/src/link/MessageDeflate.h
@@ -39,9 +39,9 @@
 
     /**
      * The message that was compressed to @p bytes. Errors: Malformed, if it is no such stream or would be longer than
-     * @p most bytes; the link must be closed then, since nothing that follows can be read.
+     * @p maxBytes bytes; the link must be closed then, since nothing that follows can be read.
      */
-    Expected<std::string> inflate(const std::string &bytes, std::size_t most);
+    Expected<std::string> inflate(const std::string &bytes, std::size_t maxBytes);
 
 private:
     struct Stream;
--- a/src/link/PeerHub.cpp
+++ b/src/link/PeerHub.cpp
@@ -22,24 +22,24 @@
 
 constexpr long openTimeoutMs = 1000;
 constexpr long closeTimeoutMs = 500;
-constexpr std::size_t mostMessageBytes = 8UL * 1024 * 1024;
-constexpr std::size_t mostBufferedBytes = 16UL * 1024 * 1024;
+constexpr std::size_t maxMessageBytes = 8UL * 1024 * 1024;
+constexpr std::size_t maxBufferedBytes = 16UL * 1024 * 1024;
 constexpr Millis helloTimeout{1500};
 
 /** Waits for something that may never come: opened by its event or by its timer, whichever is first. */
-struct TimedGate {
-    TimedGate(boost::asio::io_context &ioContext, Duration allowed)
-        : timer(ioContext, allowed)
+struct TimedLatch {
+    TimedLatch(boost::asio::io_context &ioContext, Duration timeout)
+        : timer(ioContext, timeout)
     { }
 
     void wait()
     {
-        timer.async_wait([gate = gate](boost::system::error_code) { gate->open(); });
-        gate->wait();
+        timer.async_wait([latch = latch](boost::system::error_code) { latch->release(); });
+        latch->wait();
         timer.cancel();
     }
 
-    std::shared_ptr<FiberGate> gate = std::make_shared<FiberGate>();
+    std::shared_ptr<FiberLatch> latch = std::make_shared<FiberLatch>();
     boost::asio::steady_timer timer;
 };
 
@@ -53,21 +53,21 @@
         connection_hdl handle;
         Endpoint endpoint;
         NodeRef peer;
-        bool helloDone = false;
+        bool helloReceived = false;
         bool closed = false;
         SteadyTime since = std::chrono::steady_clock::now();
         /** When the listening side's Hello was sent, or came. */
         std::optional<SteadyTime> helloAt;
-        std::vector<std::shared_ptr<FiberGate>> waiters;
+        std::vector<std::shared_ptr<FiberLatch>> waiters;
         LinkFramer framer;
         /** When the other end was heard last. */
-        SteadyTime heardAt;
+        SteadyTime lastReceivedAt;
     };
     using LinkPtr = std::shared_ptr<Link>;
 
     struct Pending {
         LinkPtr link;
-        std::shared_ptr<FiberGate> gate;
+        std::shared_ptr<FiberLatch> latch;
         bool answered = false;
         bool linkLost = false;
         ExecReply reply;
@@ -82,22 +82,22 @@
 
     void setUp();
     LinkPtr addLink(bool outgoing, connection_hdl handle);
-    LinkPtr openTo(const Endpoint &endpoint);
-    Expected<LinkId> linkAt(const Endpoint &endpoint, Duration allowed, bool fresh);
+    LinkPtr connectTo(const Endpoint &endpoint);
+    Expected<LinkId> linkAt(const Endpoint &endpoint, Duration timeout, bool forceNew);
     Expected<LinkPtr> linkTo(const NodeRef &to, const Endpoint &endpoint);
-    Expected<void> awaitHello(const LinkPtr &link, Duration allowed = helloTimeout);
-    tl::expected<ExecReply, CallError> ask(const NodeRef &to, const Endpoint &endpoint,
-                                           const std::function<Message(std::uint64_t)> &messageOf, Duration allowed,
-                                           const std::function<void(std::uint64_t)> &onSent);
+    Expected<void> awaitHello(const LinkPtr &link, Duration timeout = helloTimeout);
+    tl::expected<ExecReply, CallError> sendAndWait(const NodeRef &to, const Endpoint &endpoint,
+                                                   const std::function<Message(std::uint64_t)> &messageOf,
+                                                   Duration timeout, const std::function<void(std::uint64_t)> &onSent);
     /** False if the link has closed, or holds more than the other end takes in time. */
-    bool takesMore(const LinkPtr &link);
+    bool canSend(const LinkPtr &link);
     bool writeFrame(const LinkPtr &link, const std::string &frame);
     bool sendOn(const LinkPtr &link, Message message);
     void onFrame(const LinkPtr &link, const std::string &payload);
     void onMessage(const LinkPtr &link, Message message);
     void onClosed(const LinkPtr &link);
     void closeLink(const LinkPtr &link, websocketpp::close::status::value code);
-    static void wake(Link &link);
+    static void releaseWaiters(Link &link);
     void finishPending(std::uint64_t id, const LinkPtr &link, ExecReply reply);
 
     boost::asio::io_context &ioContext;
@@ -117,8 +117,8 @@
     /** Outgoing links that have said hello. */
     std::map<Endpoint, LinkPtr> byEndpoint;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending;
-    std::uint64_t sent = 0;
-    std::uint64_t received = 0;
+    std::uint64_t bytesSent = 0;
+    std::uint64_t bytesReceived = 0;
 };
 
 void PeerHub::State::setUp()
@@ -133,10 +133,10 @@
     server.set_reuse_addr(true);
     server.set_open_handshake_timeout(openTimeoutMs);
     server.set_close_handshake_timeout(closeTimeoutMs);
-    server.set_max_message_size(mostMessageBytes);
+    server.set_max_message_size(maxMessageBytes);
     client.set_open_handshake_timeout(openTimeoutMs);
     client.set_close_handshake_timeout(closeTimeoutMs);
-    client.set_max_message_size(mostMessageBytes);
+    client.set_max_message_size(maxMessageBytes);
     const auto noDelay = [](auto &endpoint) {
         endpoint.set_tcp_pre_init_handler({});
         endpoint.set_socket_init_handler([](const connection_hdl &, boost::asio::ip::tcp::socket &socket) {
@@ -178,15 +178,15 @@
     return link;
 }
 
-void PeerHub::State::wake(Link &link)
+void PeerHub::State::releaseWaiters(Link &link)
 {
-    for (const auto &gate : link.waiters) {
-        gate->open();
+    for (const auto &latch : link.waiters) {
+        latch->release();
     }
     link.waiters.clear();
 }
 
-PeerHub::State::LinkPtr PeerHub::State::openTo(const Endpoint &endpoint)
+PeerHub::State::LinkPtr PeerHub::State::connectTo(const Endpoint &endpoint)
 {
     const auto found = opening.find(endpoint);
     if (found != opening.end()) {
@@ -230,17 +230,17 @@
     return link;
 }
 
-Expected<void> PeerHub::State::awaitHello(const LinkPtr &link, Duration allowed)
+Expected<void> PeerHub::State::awaitHello(const LinkPtr &link, Duration timeout)
 {
-    if (!link->helloDone && !link->closed) {
-        TimedGate timed(ioContext, allowed);
-        link->waiters.push_back(timed.gate);
+    if (!link->helloReceived && !link->closed) {
+        TimedLatch timed(ioContext, timeout);
+        link->waiters.push_back(timed.latch);
         timed.wait();
     }
     if (link->closed) {
         return fail(ErrorCode::Unavailable, "no link to " + link->endpoint.text());
     }
-    if (!link->helloDone) {
+    if (!link->helloReceived) {
         // Another waiter may have more time left for the same link.
         if (std::chrono::steady_clock::now() - link->since >= helloTimeout) {
             closeLink(link, websocketpp::close::status::going_away);
@@ -259,7 +259,7 @@
     if (found != outgoing.end()) {
         return found->second;
     }
-    LinkPtr link = openTo(endpoint);
+    LinkPtr link = connectTo(endpoint);
     if (!link) {
         return fail(ErrorCode::Unavailable, "can't connect to " + endpoint.text());
     }
@@ -273,27 +273,27 @@
     return link;
 }
 
-Expected<LinkId> PeerHub::State::linkAt(const Endpoint &endpoint, Duration allowed, bool fresh)
+Expected<LinkId> PeerHub::State::linkAt(const Endpoint &endpoint, Duration timeout, bool forceNew)
 {
     if (stopped) {
         return fail(ErrorCode::Unavailable, "stopping");
     }
     const auto found = byEndpoint.find(endpoint);
-    if (found != byEndpoint.end() && !fresh) {
+    if (found != byEndpoint.end() && !forceNew) {
         return found->second->id;
     }
-    const LinkPtr link = openTo(endpoint);
+    const LinkPtr link = connectTo(endpoint);
     if (!link) {
         return fail(ErrorCode::Unavailable, "can't connect to " + endpoint.text());
     }
-    const Expected<void> hello = awaitHello(link, allowed);
+    const Expected<void> hello = awaitHello(link, timeout);
     if (!hello) {
         return tl::unexpected<Error>(hello.error());
     }
     return link->id;
 }
 
-bool PeerHub::State::takesMore(const LinkPtr &link)
+bool PeerHub::State::canSend(const LinkPtr &link)
 {
     if (link->closed) {
         return false;
@@ -304,7 +304,7 @@
         return error ? 0 : connection->get_buffered_amount();
     };
     const std::size_t waiting = link->outgoing ? buffered(client) : buffered(server);
-    return !error && waiting + link->framer.bytesWaiting() <= mostBufferedBytes;
+    return !error && waiting + link->framer.queuedBytes() <= maxBufferedBytes;
 }
 
 bool PeerHub::State::writeFrame(const LinkPtr &link, const std::string &frame)
@@ -315,13 +315,13 @@
     } else {
         server.send(link->handle, frame, websocketpp::frame::opcode::binary, error);
     }
-    sent += error ? 0 : frame.size();
+    bytesSent += error ? 0 : frame.size();
     return !error;
 }
 
 bool PeerHub::State::sendOn(const LinkPtr &link, Message message)
 {
-    if (!takesMore(link)) {
+    if (!canSend(link)) {
         return false;
     }
     const bool written =
@@ -351,20 +351,20 @@
     if (link->closed) {
         return;
     }
-    received += payload.size();
-    link->heardAt = clock.now();
-    Expected<std::optional<Message>> taken =
-        link->framer.take(payload, [&](const std::string &frame) { return writeFrame(link, frame); });
-    const bool helloFirst = link->helloDone || (taken && *taken && std::holds_alternative<Hello>(**taken));
-    if (!taken || !helloFirst) {
-        if (hooks.onGarbage && (taken || taken.error().code == ErrorCode::Malformed)) {
-            hooks.onGarbage(taken ? "message before hello" : taken.error().message);
+    bytesReceived += payload.size();
+    link->lastReceivedAt = clock.now();
+    Expected<std::optional<Message>> received =
+        link->framer.receive(payload, [&](const std::string &frame) { return writeFrame(link, frame); });
+    const bool helloFirst = link->helloReceived || (received && *received && std::holds_alternative<Hello>(**received));
+    if (!received || !helloFirst) {
+        if (hooks.onMalformed && (received || received.error().code == ErrorCode::Malformed)) {
+            hooks.onMalformed(received ? "message before hello" : received.error().message);
         }
         closeLink(link, websocketpp::close::status::unsupported_data);
         return;
     }
-    if (*taken) {
-        onMessage(link, std::move(**taken));
+    if (*received) {
+        onMessage(link, std::move(**received));
     }
 }
 
@@ -372,7 +372,7 @@
 {
     if (const auto *hello = std::get_if<Hello>(&message)) {
         link->peer = hello->from;
-        link->helloDone = true;
+        link->helloReceived = true;
         if (link->outgoing) {
             link->helloAt = clock.now();
             outgoing[link->peer] = link;
@@ -382,7 +382,7 @@
                 opening.erase(opened);
             }
         }
-        wake(*link);
+        releaseWaiters(*link);
         if (hooks.onLinkOpen && !stopped) {
             hooks.onLinkOpen(link->id, link->outgoing);
         }
@@ -405,7 +405,7 @@
     }
     found->second->answered = true;
     found->second->reply = std::move(reply);
-    found->second->gate->open();
+    found->second->latch->release();
 }
 
 void PeerHub::State::onClosed(const LinkPtr &link)
@@ -414,7 +414,7 @@
         return;
     }
     link->closed = true;
-    wake(*link);
+    releaseWaiters(*link);
     links.erase(link->id);
     const auto opened = opening.find(link->endpoint);
     if (opened != opening.end() && opened->second == link) {
@@ -423,7 +423,7 @@
     for (const auto &[id, call] : pending) {
         if (call->link == link) {
             call->linkLost = true;
-            call->gate->open();
+            call->latch->release();
         }
     }
     const auto current = byEndpoint.find(link->endpoint);
@@ -482,7 +482,7 @@
             return peer;
         }
     }
-    const State::LinkPtr link = state_->openTo(endpoint);
+    const State::LinkPtr link = state_->connectTo(endpoint);
     if (!link) {
         return fail(ErrorCode::Unavailable, "can't connect to " + endpoint.text());
     }
@@ -493,9 +493,9 @@
     return link->peer;
 }
 
-Expected<LinkId> PeerHub::linkAt(const Endpoint &endpoint, Duration allowed, bool fresh)
+Expected<LinkId> PeerHub::linkAt(const Endpoint &endpoint, Duration timeout, bool forceNew)
 {
-    return state_->linkAt(endpoint, allowed, fresh);
+    return state_->linkAt(endpoint, timeout, forceNew);
 }
 
 std::optional<LinkId> PeerHub::openLinkAt(const Endpoint &endpoint) const
@@ -540,10 +540,10 @@
     return {};
 }
 
-tl::expected<ExecReply, CallError> PeerHub::State::ask(const NodeRef &to, const Endpoint &endpoint,
-                                                       const std::function<Message(std::uint64_t)> &messageOf,
-                                                       Duration allowed,
-                                                       const std::function<void(std::uint64_t)> &onSent)
+tl::expected<ExecReply, CallError> PeerHub::State::sendAndWait(const NodeRef &to, const Endpoint &endpoint,
+                                                               const std::function<Message(std::uint64_t)> &messageOf,
+                                                               Duration timeout,
+                                                               const std::function<void(std::uint64_t)> &onSent)
 {
     const auto link = linkTo(to, endpoint);
     if (!link) {
@@ -551,9 +551,9 @@
     }
     const std::uint64_t id = nextCall++;
     const auto call = std::make_shared<Pending>();
-    TimedGate timed(ioContext, allowed);
+    TimedLatch timed(ioContext, timeout);
     call->link = *link;
-    call->gate = timed.gate;
+    call->latch = timed.latch;
     pending[id] = call;
     if (!sendOn(*link, messageOf(id))) {
         pending.erase(id);
@@ -571,7 +571,7 @@
 }
 
 tl::expected<ExecReply, CallError> PeerHub::call(const NodeRef &to, const Endpoint &endpoint, Exec exec,
-                                                 Duration allowed, const std::function<void(std::uint64_t)> &onSent)
+                                                 Duration timeout, const std::function<void(std::uint64_t)> &onSent)
 {
     std::uint64_t sentId = 0;
     const auto noteSent = [&](std::uint64_t id) {
@@ -580,13 +580,13 @@
             onSent(id);
         }
     };
-    auto answer = state_->ask(
+    auto answer = state_->sendAndWait(
         to, endpoint,
         [&](std::uint64_t id) {
             exec.id = id;
             return Message(std::move(exec));
         },
-        allowed, noteSent);
+        timeout, noteSent);
     const auto link = state_->outgoing.find(to);
     if (!answer && sentId != 0 && link != state_->outgoing.end()) {
         state_->sendOn(link->second, Cancel{sentId});
@@ -594,30 +594,31 @@
     return answer;
 }
 
-Expected<void> PeerHub::callAcknowledged(const NodeRef &to, const Endpoint &endpoint, ClaimHandover message,
-                                         Duration allowed)
+Expected<void> PeerHub::sendAcknowledged(const NodeRef &to, const Endpoint &endpoint, ClaimHandover message,
+                                         Duration timeout)
 {
-    const auto answer = state_->ask(to, endpoint,
-                                    [&](std::uint64_t id) {
-                                        message.id = id;
-                                        return Message(message);
-                                    },
-                                    allowed, {});
+    const auto answer = state_->sendAndWait(to, endpoint,
+                                            [&](std::uint64_t id) {
+                                                message.id = id;
+                                                return Message(message);
+                                            },
+                                            timeout, {});
     return answer ? Expected<void>() : fail(ErrorCode::Timeout, answer.error().reason);
 }
 
-Expected<void> PeerHub::ping(const NodeRef &to, const Endpoint &endpoint, Duration allowed)
+Expected<void> PeerHub::ping(const NodeRef &to, const Endpoint &endpoint, Duration timeout)
 {
-    const auto answer = state_->ask(to, endpoint, [](std::uint64_t id) { return Message(Ping{id}); }, allowed, {});
+    const auto answer =
+        state_->sendAndWait(to, endpoint, [](std::uint64_t id) { return Message(Ping{id}); }, timeout, {});
     return answer ? Expected<void>() : fail(ErrorCode::Timeout, answer.error().reason);
 }
 
-void PeerHub::closeStrangers(Duration olderThan)
+void PeerHub::closeUnidentified(Duration olderThan)
 {
     const SteadyTime now = std::chrono::steady_clock::now();
     const auto links = state_->links;
     for (const auto &[id, link] : links) {
-        if (!link->outgoing && !link->helloDone && now - link->since >= olderThan) {
+        if (!link->outgoing && !link->helloReceived && now - link->since >= olderThan) {
             state_->closeLink(link, websocketpp::close::status::policy_violation);
         }
     }
@@ -627,7 +628,7 @@
 {
     const auto found = state_->pending.find(id);
     if (found != state_->pending.end()) {
-        found->second->gate->open();
+        found->second->latch->release();
     }
 }
 
@@ -641,13 +642,13 @@
     return state_->sendOn(held, std::move(message));
 }
 
-std::optional<SteadyTime> PeerHub::heardAt(LinkId link) const
+std::optional<SteadyTime> PeerHub::lastReceivedAt(LinkId link) const
 {
     const auto found = state_->links.find(link);
-    return found == state_->links.end() ? std::nullopt : std::optional<SteadyTime>(found->second->heardAt);
+    return found == state_->links.end() ? std::nullopt : std::optional<SteadyTime>(found->second->lastReceivedAt);
 }
 
-void PeerHub::drop(const NodeRef &peer)
+void PeerHub::disconnect(const NodeRef &peer)
 {
     const auto found = state_->outgoing.find(peer);
     if (found != state_->outgoing.end()) {
@@ -656,19 +657,19 @@
     }
 }
 
-std::size_t PeerHub::openLinks() const
+std::size_t PeerHub::openLinkCount() const
 {
     return state_->links.size();
 }
 
 std::uint64_t PeerHub::bytesSent() const
 {
-    return state_->sent;
+    return state_->bytesSent;
 }
 
 std::uint64_t PeerHub::bytesReceived() const
 {
-    return state_->received;
+    return state_->bytesReceived;
 }
 
 void PeerHub::stop()
--- a/src/link/PeerHub.h
+++ b/src/link/PeerHub.h
@@ -16,7 +16,7 @@
 
 /** Why a message could not be sent or answered, and whether it may have left this node. */
 struct CallError {
-    bool mayHaveLeft = false;
+    bool mayHaveBeenSent = false;
     std::string reason;
 };
 
@@ -38,7 +38,7 @@
         /** A message other than Hello, Ping, Pong and ExecReply. */
         std::function<void(LinkId link, const NodeRef &from, Message message)> onMessage;
         /** Bytes that were no message; the link is closed. */
-        std::function<void(const std::string &reason)> onGarbage;
+        std::function<void(const std::string &reason)> onMalformed;
         /** An outgoing link closed or went silent. */
         std::function<void(const NodeRef &peer)> onLinkLost;
         /** The other end said who it is; the link may be used. */
@@ -60,11 +60,11 @@
     /** The incarnation that answers at @p endpoint. Errors: Unavailable, Timeout. @pre called from a fiber. */
     Expected<NodeRef> discover(const Endpoint &endpoint);
     /**
-     * The open link to whoever listens at @p endpoint; opens one if there is none, or if @p fresh: a link that went
+     * The open link to whoever listens at @p endpoint; opens one if there is none, or if @p forceNew: a link that went
      * silent without a reset shows only by its silence. The one replaced stays open for answers that come late.
-     * Errors: Unavailable, Timeout (not there within @p allowed). @pre called from a fiber.
+     * Errors: Unavailable, Timeout (not there within @p timeout). @pre called from a fiber.
      */
-    Expected<LinkId> linkAt(const Endpoint &endpoint, Duration allowed, bool fresh = false);
+    Expected<LinkId> linkAt(const Endpoint &endpoint, Duration timeout, bool forceNew = false);
     /** The link to whoever listens at @p endpoint, if one that this node opened is there. */
     std::optional<LinkId> openLinkAt(const Endpoint &endpoint) const;
     /** The incarnation at the other end; nothing if the link has closed. */
@@ -83,25 +83,25 @@
      * Sends @p exec (its id is set here) and waits for the reply. @p onSent is called with the id as soon as the
      * message left. @pre called from a fiber.
      */
-    tl::expected<ExecReply, CallError> call(const NodeRef &to, const Endpoint &endpoint, Exec exec, Duration allowed,
+    tl::expected<ExecReply, CallError> call(const NodeRef &to, const Endpoint &endpoint, Exec exec, Duration timeout,
                                             const std::function<void(std::uint64_t id)> &onSent = {});
     /** Sends a message that the peer acknowledges with a Pong of its id. @pre called from a fiber. */
-    Expected<void> callAcknowledged(const NodeRef &to, const Endpoint &endpoint, ClaimHandover message,
-                                    Duration allowed);
+    Expected<void> sendAcknowledged(const NodeRef &to, const Endpoint &endpoint, ClaimHandover message,
+                                    Duration timeout);
     /** Measures whether the peer answers. @pre called from a fiber. */
-    Expected<void> ping(const NodeRef &to, const Endpoint &endpoint, Duration allowed);
+    Expected<void> ping(const NodeRef &to, const Endpoint &endpoint, Duration timeout);
     /** Ends a call of this node early: the caller gets an error and the peer a Cancel. */
     void cancelCall(std::uint64_t id);
     /** Sends on an open link; false if it has closed or takes no more. */
     bool reply(LinkId link, Message message);
     /** When anything came on the link last, parts of large answers included; nothing if it has closed. */
-    std::optional<SteadyTime> heardAt(LinkId link) const;
+    std::optional<SteadyTime> lastReceivedAt(LinkId link) const;
     /** Closes incoming links that have not said Hello within @p olderThan. */
-    void closeStrangers(Duration olderThan);
+    void closeUnidentified(Duration olderThan);
     /** Closes the outgoing link to @p peer. */
-    void drop(const NodeRef &peer);
+    void disconnect(const NodeRef &peer);
     /** Incarnations to which a link is open. */
-    std::size_t openLinks() const;
+    std::size_t openLinkCount() const;
     /** Bytes of messages sent and received since the start. */
     std::uint64_t bytesSent() const;
     std::uint64_t bytesReceived() const;
--- a/src/node/ClaimService.cpp
+++ b/src/node/ClaimService.cpp
@@ -17,13 +17,13 @@
 namespace {
 
 constexpr Millis forwardGrace{200};
-constexpr Millis pollWhileStopping{20};
+constexpr Millis stopPollInterval{20};
 constexpr Millis ackTimeout{2000};
 /** Well under the largest message that a link takes. */
 constexpr std::size_t handoverBytes = 1024UL * 1024;
-constexpr Millis boundKeyMemory = std::chrono::minutes(10);
-constexpr double leastKeyBurst = 4.0;
-constexpr std::size_t mostBoundKeys = 10000;
+constexpr Millis boundKeyRetention = std::chrono::minutes(10);
+constexpr double minKeyBurst = 4.0;
+constexpr std::size_t maxBoundKeys = 10000;
 const std::string keyKind = "key";
 
 /** Object names are short and safe; the key itself stands in the value. */
@@ -38,7 +38,7 @@
 {
     ClaimLimits limits;
     limits.entries = settings.limits.claims;
-    limits.answerBytes = settings.limits.claimAnswerBytes;
+    limits.responseBytes = settings.limits.claimAnswerBytes;
     limits.validity = settings.times.ticketValidity;
     return limits;
 }
@@ -57,9 +57,9 @@
 
 ClaimService::ClaimService(NodeCore &core)
     : core_(core)
-    , mint_(core.self, core.clock)
+    , issuer_(core.self, core.clock)
     , table_(core.self, core.clock, limitsOf(core.settings))
-    , keyWrites_(1.0, leastKeyBurst, core.clock.now())
+    , keyWrites_(1.0, minKeyBurst, core.clock.now())
 { }
 
 ExecReply ClaimService::makeReply(Outcome outcome, const std::string &reason, Millis retryAfter)
@@ -71,9 +71,9 @@
     return reply;
 }
 
-std::string ClaimService::mintTicket()
+std::string ClaimService::issueTicket()
 {
-    return mint_.mint().text();
+    return issuer_.issue().text();
 }
 
 tl::expected<Ticket, ExecReply> ClaimService::bindKey(const std::string &key, const Exec &exec)
@@ -92,7 +92,7 @@
         return refuse(Outcome::Unknown, "key-writes-spent");
     }
     ObjectApi &api = core_.service<ObjectApi>("platform");
-    const Ticket ticket = mint_.mint();
+    const Ticket ticket = issuer_.issue();
     const auto wallMs = std::chrono::duration_cast<Millis>(core_.clock.wallNow().time_since_epoch()).count();
     const nlohmann::json value = {{"ticket", ticket.text()}, {"at", wallMs}};
     const UpdateResult created = api.update(keyKind, name, 0, value.dump());
@@ -117,7 +117,7 @@
         core_.metrics.count("key_bind_failures");
         return refuse(Outcome::Unknown, "key-store-away");
     }
-    if (boundKeys_.size() < mostBoundKeys) {
+    if (boundKeys_.size() < maxBoundKeys) {
         boundKeys_[name] = {bound->text(), core_.clock.now()};
     }
     return *bound;
@@ -143,12 +143,12 @@
     exec.stage = ExecStage::Claim;
     const NodeRef holder = core_.service<GossipService>("gossip").claimHolder(ticket.owner);
     if (holder == core_.self || table_.hasAdopted(ticket.owner)) {
-        return claimHere(exec, cls);
+        return claimLocally(exec, cls);
     }
-    return passToOwner(holder, exec);
+    return forwardToOwner(holder, exec);
 }
 
-ExecReply ClaimService::passToOwner(const NodeRef &holder, const Exec &exec)
+ExecReply ClaimService::forwardToOwner(const NodeRef &holder, const Exec &exec)
 {
     GossipService &gossip = core_.service<GossipService>("gossip");
     const std::optional<Endpoint> endpoint = gossip.peerEndpoint(holder);
@@ -175,34 +175,34 @@
         work.stage = ExecStage::Run;
         const ExecReply reply =
             core_.service<DispatchService>("dispatch").run(work, cls, std::make_shared<RunControl>());
-        table_.finish(ticket, ClaimEnd{reply.outcome, reply.response});
-        const auto found = waiting_.find(ticket.text());
-        if (found == waiting_.end()) {
+        table_.finish(ticket, ClaimResult{reply.outcome, reply.response});
+        const auto found = waiters_.find(ticket.text());
+        if (found == waiters_.end()) {
             return;
         }
         const std::vector<WaiterPtr> waiters = std::move(found->second);
-        waiting_.erase(found);
+        waiters_.erase(found);
         for (const WaiterPtr &waiter : waiters) {
             waiter->reply = reply;
-            waiter->gate.open();
+            waiter->latch.release();
         }
     });
 }
 
-ExecReply ClaimService::waitForEnd(const Ticket &ticket, Duration allowed)
+ExecReply ClaimService::waitForResult(const Ticket &ticket, Duration allowed)
 {
     const auto waiter = std::make_shared<Waiter>();
-    waiting_[ticket.text()].push_back(waiter);
+    waiters_[ticket.text()].push_back(waiter);
     boost::asio::steady_timer timer(core_.ioContext, allowed);
-    timer.async_wait([waiter](boost::system::error_code) { waiter->gate.open(); });
-    waiter->gate.wait();
+    timer.async_wait([waiter](boost::system::error_code) { waiter->latch.release(); });
+    waiter->latch.wait();
     timer.cancel();
     return waiter->reply ? *waiter->reply : makeReply(Outcome::Unknown, "still-running", Millis(1000));
 }
 
 ExecReply ClaimService::replay(const Ticket &ticket) const
 {
-    const ClaimEnd *end = table_.endOf(ticket);
+    const ClaimResult *end = table_.resultOf(ticket);
     ExecReply reply = makeReply(Outcome::Ran, {}, Millis(0));
     if (end != nullptr) {
         reply.response = end->response;
@@ -211,54 +211,54 @@
     return reply;
 }
 
-ExecReply ClaimService::refused(ClaimVerdict verdict) const
+ExecReply ClaimService::refusalReply(ClaimDecision decision) const
 {
-    const std::string reason = claimVerdictName(verdict);
-    switch (verdict) {
-    case ClaimVerdict::Start:
-    case ClaimVerdict::Running:
-    case ClaimVerdict::Replay:
-    case ClaimVerdict::NotOwner:
-    case ClaimVerdict::InDoubt:
-    case ClaimVerdict::Expired:
+    const std::string reason = claimDecisionName(decision);
+    switch (decision) {
+    case ClaimDecision::Start:
+    case ClaimDecision::Running:
+    case ClaimDecision::Replay:
+    case ClaimDecision::NotOwner:
+    case ClaimDecision::OutcomeUnknown:
+    case ClaimDecision::Expired:
         return makeReply(Outcome::Unknown, reason, Millis(0));
-    case ClaimVerdict::AnswerNotKept:
+    case ClaimDecision::ResponseNotStored:
         return makeReply(Outcome::Ran, reason, Millis(0));
-    case ClaimVerdict::OtherRequest:
+    case ClaimDecision::OtherRequest:
         return makeReply(Outcome::NotRun, reason, Millis(0));
-    case ClaimVerdict::Full:
-    case ClaimVerdict::Stopping:
+    case ClaimDecision::Full:
+    case ClaimDecision::Stopping:
         return makeReply(Outcome::NotRun, reason, Millis(1000));
     }
     return makeReply(Outcome::Unknown, reason, Millis(0));
 }
 
-ExecReply ClaimService::claimHere(const Exec &exec, const ClassIntent &cls)
+ExecReply ClaimService::claimLocally(const Exec &exec, const ClassIntent &cls)
 {
     const Expected<Ticket> ticket = Ticket::parse(exec.ticket);
     if (!ticket) {
         return makeReply(Outcome::NotRun, "malformed-ticket", Millis(0));
     }
-    const ClaimVerdict verdict = table_.begin(*ticket, mint_.age(), requestDigest(exec.service, exec.request));
-    core_.metrics.count(std::string("claim_") + claimVerdictName(verdict));
-    switch (verdict) {
-    case ClaimVerdict::Start:
+    const ClaimDecision decision = table_.begin(*ticket, issuer_.age(), requestDigest(exec.service, exec.request));
+    core_.metrics.count(std::string("claim_") + claimDecisionName(decision));
+    switch (decision) {
+    case ClaimDecision::Start:
         start(*ticket, exec, cls);
-        return waitForEnd(*ticket, exec.remaining + forwardGrace);
-    case ClaimVerdict::Running:
-        return waitForEnd(*ticket, exec.remaining);
-    case ClaimVerdict::Replay:
+        return waitForResult(*ticket, exec.remaining + forwardGrace);
+    case ClaimDecision::Running:
+        return waitForResult(*ticket, exec.remaining);
+    case ClaimDecision::Replay:
         return replay(*ticket);
-    case ClaimVerdict::AnswerNotKept:
-    case ClaimVerdict::InDoubt:
-    case ClaimVerdict::OtherRequest:
-    case ClaimVerdict::Expired:
-    case ClaimVerdict::Full:
-    case ClaimVerdict::Stopping:
-    case ClaimVerdict::NotOwner:
+    case ClaimDecision::ResponseNotStored:
+    case ClaimDecision::OutcomeUnknown:
+    case ClaimDecision::OtherRequest:
+    case ClaimDecision::Expired:
+    case ClaimDecision::Full:
+    case ClaimDecision::Stopping:
+    case ClaimDecision::NotOwner:
         break;
     }
-    return refused(verdict);
+    return refusalReply(decision);
 }
 
 void ClaimService::adopt(const ClaimHandover &handover)
@@ -275,14 +275,14 @@
     const SteadyTime until = core_.clock.now() + within;
     table_.stopClaiming();
     while (table_.running() > 0 && core_.clock.now() < until) {
-        sleepFor(core_.ioContext, pollWhileStopping);
+        sleepFor(core_.ioContext, stopPollInterval);
     }
     if (table_.running() > 0) {
         core_.events.write(Severity::Error, "claims_not_handed_over", {{"running", std::to_string(table_.running())}});
         return;
     }
-    const ClaimHandover handover = table_.handOver(mint_.age());
-    const std::vector<ClaimHandover> parts = partsOf(handover, handoverBytes);
+    const ClaimHandover handover = table_.handOver(issuer_.age());
+    const std::vector<ClaimHandover> parts = splitHandover(handover, handoverBytes);
     GossipService &gossip = core_.service<GossipService>("gossip");
     PeerHub &peers = core_.service<PeerHub>("peers");
     const auto wallMs = std::chrono::duration_cast<Millis>(core_.clock.wallNow().time_since_epoch()).count();
@@ -294,7 +294,7 @@
         const NodeRef successor = node->ref;
         const Endpoint endpoint{node->address, node->peerPort};
         const bool taken = std::all_of(parts.begin(), parts.end(), [&](const ClaimHandover &part) {
-            return peers.callAcknowledged(successor, endpoint, part, ackTimeout).has_value();
+            return peers.sendAcknowledged(successor, endpoint, part, ackTimeout).has_value();
         });
         if (!taken) {
             // It may have adopted them all the same, which does no harm: only the one that is named is ever asked.
@@ -318,13 +318,13 @@
     table_.expire();
     const SteadyTime now = core_.clock.now();
     for (auto it = boundKeys_.begin(); it != boundKeys_.end();) {
-        it = now - it->second.second >= boundKeyMemory ? boundKeys_.erase(it) : std::next(it);
+        it = now - it->second.second >= boundKeyRetention ? boundKeys_.erase(it) : std::next(it);
     }
     // The store's writes don't grow with the fleet, so each node takes its share of a fixed rate.
     const auto nodes =
         static_cast<double>(std::max<std::size_t>(1, core_.service<GossipService>("gossip").upIds().size()));
     const double rate = core_.settings.limits.fleetKeyWritesPerSecond / nodes;
-    keyWrites_.setRate(rate, std::max(leastKeyBurst, rate * 2.0));
+    keyWrites_.setRate(rate, std::max(minKeyBurst, rate * 2.0));
 }
 
 std::size_t ClaimService::size() const
--- a/src/node/DispatchService.cpp
+++ b/src/node/DispatchService.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 /** A home's verdict may come this much after the request's time, and is worth the wait: it tells run from not run. */
-constexpr Millis verdictGrace{250};
-constexpr Millis leastTime{2};
-constexpr int mostHomes = 4;
+constexpr Millis replyGrace{250};
+constexpr Millis minTimeLeft{2};
+constexpr int maxHomes = 4;
 constexpr unsigned firstServerError = 500;
 /** An idempotent request waits this many times its response time for a home that says nothing. */
-constexpr int silentHomeFactor = 2;
+constexpr int homeTimeoutFactor = 2;
 
 bool isFinalReason(const std::string &reason)
 {
@@ -63,7 +63,7 @@
     return found;
 }
 
-bool DispatchService::regionHasRoom(const HomeCandidate &home, std::size_t bytes)
+bool DispatchService::takeRegionBytes(const HomeCandidate &home, std::size_t bytes)
 {
     if (home.distance != Distance::OtherRegion) {
         return true;
@@ -85,21 +85,21 @@
     const std::optional<Endpoint> endpoint = core_.service<GossipService>("gossip").peerEndpoint(home.node);
     ExecReply reply;
     reply.id = exec.id;
-    if (!endpoint || !regionHasRoom(home, bytesOf(exec.request))) {
+    if (!endpoint || !takeRegionBytes(home, bytesOf(exec.request))) {
         reply.outcome = Outcome::NotRun;
         reply.reason = endpoint ? "region-bytes-spent" : "no-home";
         reply.retryAfter = Millis(1000);
         return reply;
     }
-    const Millis patience =
-        cls.idempotent ? std::min(exec.remaining, cls.responseTime * silentHomeFactor) : exec.remaining;
-    const auto answer = peers.call(home.node, *endpoint, exec, patience + verdictGrace, [&](std::uint64_t id) {
+    const Millis replyTimeout =
+        cls.idempotent ? std::min(exec.remaining, cls.responseTime * homeTimeoutFactor) : exec.remaining;
+    const auto answer = peers.call(home.node, *endpoint, exec, replyTimeout + replyGrace, [&](std::uint64_t id) {
         control->interrupt = [&peers, id] { peers.cancelCall(id); };
     });
     control->interrupt = {};
     const SteadyTime now = core_.clock.now();
     if (answer) {
-        chooser_.notePathGood(home.node);
+        chooser_.notePathRecovered(home.node);
         chooser_.noteLoad(exec.service, home.node, answer->freeSlots, answer->queued, now);
         if (home.distance == Distance::OtherRegion) {
             regionBytes_.take(static_cast<double>(answer->response.body.size()), now);
@@ -113,8 +113,8 @@
         core_.events.write(Severity::Warning, "path_failed",
                            {{"home", home.node.text()}, {"service", exec.service}, {"reason", answer.error().reason}});
     }
-    reply.outcome = answer.error().mayHaveLeft ? Outcome::Unknown : Outcome::NotRun;
-    reply.reason = answer.error().mayHaveLeft ? "home-silent" : "home-unreachable";
+    reply.outcome = answer.error().mayHaveBeenSent ? Outcome::Unknown : Outcome::NotRun;
+    reply.reason = answer.error().mayHaveBeenSent ? "home-silent" : "home-unreachable";
     reply.retryAfter = Millis(500);
     return reply;
 }
@@ -153,14 +153,14 @@
     bool mayHaveRun = false;
     RetryBudget &budget = budgets_[exec.service];
     budget.noteAttempt();
-    for (int homes = 0; homes < mostHomes; ++homes) {
+    for (int homes = 0; homes < maxHomes; ++homes) {
         const SteadyTime now = core_.clock.now();
         const std::vector<HomeCandidate> all = candidates(exec.service);
         const HomeCandidate *home = chooser_.choose(exec.service, all, tried, now);
         const auto left = std::chrono::duration_cast<Millis>(deadline - now);
         // A refusal cost the home nothing, so moving on to a home with room is not a retry; a silent home is one.
         const bool isRetry = reply.outcome == Outcome::Unknown;
-        if (home == nullptr || left < leastTime || (isRetry && !budget.tryRetry())) {
+        if (home == nullptr || left < minTimeLeft || (isRetry && !budget.tryRetry())) {
             break;
         }
         Exec next = exec;
--- a/src/node/DispatchService.h
+++ b/src/node/DispatchService.h
@@ -35,7 +35,7 @@
     ExecReply runAt(const HomeCandidate &home, const Exec &exec, const ClassIntent &cls, const RunControlPtr &control);
     ExecReply runRemote(const HomeCandidate &home, const Exec &exec, const ClassIntent &cls,
                         const RunControlPtr &control);
-    bool regionHasRoom(const HomeCandidate &home, std::size_t bytes);
+    bool takeRegionBytes(const HomeCandidate &home, std::size_t bytes);
 
     NodeCore &core_;
     HomeChooser chooser_;
--- a/src/node/FloorService.cpp
+++ b/src/node/FloorService.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Millis every{500};
-constexpr Millis longestPause = std::chrono::seconds(30);
-constexpr Millis leastBetweenReads{2000};
+constexpr Millis pollInterval{500};
+constexpr Millis maxPause = std::chrono::seconds(30);
+constexpr Millis minReadInterval{2000};
 constexpr double callBurst = 10.0;
 const std::string pledgeKind = "pledge";
 
@@ -39,8 +39,8 @@
     }
     const SteadyTime now = core_.clock.now();
     const auto last = readAt_.find(service);
-    const bool tooSoon = last != readAt_.end() && now - last->second < leastBetweenReads;
-    if (tooSoon || !home.floor().needsSheet(homes)) {
+    const bool tooSoon = last != readAt_.end() && now - last->second < minReadInterval;
+    if (tooSoon || !home.floor().needsRefresh(homes)) {
         return true;
     }
     readAt_[service] = now;
@@ -49,10 +49,10 @@
     if (!standing) {
         return false;
     }
-    const Expected<PledgeSheet> sheet =
-        *standing ? PledgeSheet::parse((*standing)->version, (*standing)->value) : PledgeSheet{};
+    const Expected<PledgeTable> sheet =
+        *standing ? PledgeTable::parse((*standing)->version, (*standing)->value) : PledgeTable{};
     if (sheet) {
-        home.floor().learn(*sheet);
+        home.floor().updateTable(*sheet);
     }
     return true;
 }
@@ -67,7 +67,7 @@
     }
     const std::vector<std::string> first = firstByHash(service, homes, 1);
     const bool mayAbsorb = !first.empty() && first.front() == core_.self.id;
-    const std::optional<PledgeSheet> proposal = floor.proposal(mayAbsorb);
+    const std::optional<PledgeTable> proposal = floor.proposal(mayAbsorb);
     if (!proposal) {
         return true;
     }
@@ -82,10 +82,10 @@
                             {"mustKeep", std::to_string(floor.mustKeep())}});
         return true;
     case UpdateResult::Kind::Conflict: {
-        std::optional<PledgeSheet> current;
+        std::optional<PledgeTable> current;
         if (result.current) {
-            const Expected<PledgeSheet> parsed = PledgeSheet::parse(result.current->version, result.current->value);
-            current = parsed ? std::optional<PledgeSheet>(*parsed) : std::nullopt;
+            const Expected<PledgeTable> parsed = PledgeTable::parse(result.current->version, result.current->value);
+            current = parsed ? std::optional<PledgeTable>(*parsed) : std::nullopt;
         }
         floor.rejected(std::move(current));
         return true;
@@ -100,7 +100,7 @@
 
 void FloorService::loop()
 {
-    Millis pause = every;
+    Millis pause = pollInterval;
     while (!core_.stopping) {
         const Millis jitter(static_cast<std::int64_t>(core_.random() % static_cast<std::uint64_t>(pause.count())));
         sleepFor(core_.ioContext, pause / 2 + jitter);
@@ -114,7 +114,7 @@
                 reached = readIfNeeded(service, *home) && writeProposal(service, *home);
             }
         }
-        pause = reached ? every : std::min(longestPause, pause * 2);
+        pause = reached ? pollInterval : std::min(maxPause, pause * 2);
     }
 }
 
--- a/src/node/GossipService.cpp
+++ b/src/node/GossipService.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 /** Changes are gathered for this long, so that a burst travels in few messages. */
-constexpr Millis flushEvery{30};
+constexpr Millis flushInterval{30};
 /** Poison and successor records carry their time as the version and are dropped when they are older. */
-constexpr Millis shortLivedMemory = std::chrono::hours(2);
+constexpr Millis shortLivedRetention = std::chrono::hours(2);
 /** A node's own records stay below this; its last word is above every guess of others. */
 constexpr std::uint64_t leftSequence = 1ULL << 40;
-constexpr std::size_t mostRecordsInPush = 500;
+constexpr std::size_t maxRecordsPerMessage = 500;
 /** Below this a record is hardly larger than its name. */
 constexpr std::size_t largePayload = 120;
 constexpr std::size_t eagerPartners = 3;
-constexpr Millis askAfter{150};
+constexpr Millis fetchDelay{150};
 
 std::uint64_t wallMs(const Clock &clock)
 {
@@ -30,11 +30,11 @@
 }
 
 /** Cuts a list into messages of a bounded size. */
-std::vector<RecordsPush> parts(const std::vector<Record> &records)
+std::vector<RecordsPush> splitIntoMessages(const std::vector<Record> &records)
 {
     std::vector<RecordsPush> out;
-    for (std::size_t start = 0; start < records.size(); start += mostRecordsInPush) {
-        const std::size_t end = std::min(records.size(), start + mostRecordsInPush);
+    for (std::size_t start = 0; start < records.size(); start += maxRecordsPerMessage) {
+        const std::size_t end = std::min(records.size(), start + maxRecordsPerMessage);
         out.push_back(RecordsPush{{records.begin() + static_cast<std::ptrdiff_t>(start),
                                    records.begin() + static_cast<std::ptrdiff_t>(end)}});
     }
@@ -45,7 +45,7 @@
 
 GossipService::GossipService(NodeCore &core)
     : core_(core)
-    , table_([this](const Record &record) { applied(record); })
+    , table_([this](const Record &record) { onRecordMerged(record); })
 { }
 
 void GossipService::onRecord(RecordKind kind, RecordHook hook)
@@ -70,7 +70,7 @@
 {
     const bool shortLived = record.kind == RecordKind::Poison || record.kind == RecordKind::Successor;
     const std::uint64_t now = wallMs(core_.clock);
-    return shortLived && record.version.major + static_cast<std::uint64_t>(shortLivedMemory.count()) < now;
+    return shortLived && record.version.major + static_cast<std::uint64_t>(shortLivedRetention.count()) < now;
 }
 
 void GossipService::dropStale()
@@ -85,7 +85,7 @@
     }
 }
 
-void GossipService::takeRecord(const Record &record, const NodeRef &from)
+void GossipService::mergeRecord(const Record &record, const NodeRef &from)
 {
     if (isStale(record)) {
         return;
@@ -117,7 +117,7 @@
     }
 }
 
-void GossipService::applied(const Record &record)
+void GossipService::onRecordMerged(const Record &record)
 {
     if (record.kind == RecordKind::Node) {
         const Expected<NodeRecord> parsed = nodeFromRecord(record);
@@ -237,7 +237,7 @@
         }
     };
     for (const auto &[id, list] : whole) {
-        for (const RecordsPush &part : parts(list)) {
+        for (const RecordsPush &part : splitIntoMessages(list)) {
             sendTo(id, part);
         }
     }
@@ -256,14 +256,14 @@
                 wanted.push_back(*record);
             }
         }
-        for (const RecordsPush &part : parts(wanted)) {
+        for (const RecordsPush &part : splitIntoMessages(wanted)) {
             peers.reply(link, part);
         }
         return true;
     }
     // The whole record is probably on its way over another partner: ask only if it has not come shortly.
     spawnFiber([this, &peers, link, names] {
-        sleepFor(core_.ioContext, askAfter);
+        sleepFor(core_.ioContext, fetchDelay);
         RecordNames want;
         want.want = true;
         for (const RecordName &name : names.names) {
@@ -282,7 +282,7 @@
 void GossipService::flushLoop()
 {
     while (!core_.stopping) {
-        sleepFor(core_.ioContext, flushEvery);
+        sleepFor(core_.ioContext, flushInterval);
         std::map<std::set<std::string>, std::vector<Record>> groups;
         for (const auto &[id, except] : outbox_) {
             if (const Record *record = table_.find(id.first, id.second)) {
@@ -306,7 +306,7 @@
     PeerHub &peers = core_.service<PeerHub>("peers");
     if (const auto *records = std::get_if<RecordsPush>(&message)) {
         for (const Record &record : records->records) {
-            takeRecord(record, from);
+            mergeRecord(record, from);
         }
         return true;
     }
@@ -335,7 +335,7 @@
                 back.buckets.emplace_back(bucket, table_.namesIn(bucket));
             }
         }
-        for (const RecordsPush &part : parts(newer)) {
+        for (const RecordsPush &part : splitIntoMessages(newer)) {
             peers.reply(link, part);
         }
         if (!names->answer && !back.buckets.empty()) {
--- a/src/node/GossipService.h
+++ b/src/node/GossipService.h
@@ -61,8 +61,8 @@
     bool hasLeft() const;
 
 private:
-    void takeRecord(const Record &record, const NodeRef &from);
-    void applied(const Record &record);
+    void mergeRecord(const Record &record, const NodeRef &from);
+    void onRecordMerged(const Record &record);
     void push(const std::vector<Record> &records, const std::set<std::string> &except);
     bool handleNames(LinkId link, const RecordNames &names);
     void publishSelf();
--- a/src/node/HomeService.cpp
+++ b/src/node/HomeService.cpp
@@ -17,8 +17,8 @@
 
 constexpr Millis busyTick{20};
 constexpr Millis idleTick{100};
-constexpr Millis suspectMemory = std::chrono::seconds(10);
-constexpr Millis leastTimeForRetry{5};
+constexpr Millis unconfirmedDeathRetention = std::chrono::seconds(10);
+constexpr Millis minTimeForRetry{5};
 constexpr unsigned firstServerError = 500;
 constexpr unsigned unavailable = 503;
 constexpr const char *notRunHeader = "Waxwing-Not-Run";
@@ -30,7 +30,7 @@
     return status >= firstServerError && status != unavailable && status != 501 && status != 505;
 }
 
-bool saysNotRun(const HttpResponse &response)
+bool isNotRunResponse(const HttpResponse &response)
 {
     return response.status == unavailable && headerValue(response.headers, notRunHeader) == "true";
 }
@@ -44,7 +44,7 @@
 
 DetectorFactory cusumDetectors()
 {
-    return [](EjectionCare care) { return std::make_unique<CusumDetector>(care); };
+    return [](EjectionPolicy policy) { return std::make_unique<CusumDetector>(policy); };
 }
 
 } // namespace
@@ -65,7 +65,7 @@
     bool mayHaveRun = false;
     ExecReply reply;
 
-    void notRun(const std::string &reason, Millis retryAfter)
+    void setNotRun(const std::string &reason, Millis retryAfter)
     {
         reply.outcome = mayHaveRun ? Outcome::Unknown : Outcome::NotRun;
         reply.reason = reason;
@@ -140,7 +140,7 @@
                             {"server", announcement.server},
                             {"incarnation", std::to_string(announcement.incarnation)},
                             {"state", serverStateName(announcement.state)}});
-        for (const Suspect &suspect : suspects_) {
+        for (const UnconfirmedDeath &suspect : unconfirmedDeaths_) {
             const bool sameServer = suspect.service == announcement.service && suspect.server == announcement.server;
             if (sameServer && suspect.incarnation != announcement.incarnation) {
                 core_.service<PoisonService>("poison").noteDeath(
@@ -157,29 +157,30 @@
     pollQueue(home);
     nlohmann::json homes = nlohmann::json::array();
     for (const NodeRecord *node : core_.service<GossipService>("gossip").nodes()) {
-        constexpr std::size_t enough = 8;
-        if (node->state == NodeState::Up && node->ref != core_.self && homes.size() < enough) {
+        constexpr std::size_t maxListedHomes = 8;
+        if (node->state == NodeState::Up && node->ref != core_.self && homes.size() < maxListedHomes) {
             homes.push_back(node->address + ":" + std::to_string(node->httpPort));
         }
     }
-    return jsonResponse(200, nlohmann::json{{"home", core_.self.id}, {"move", sendAway_}, {"homes", homes}}.dump());
+    return jsonResponse(200,
+                        nlohmann::json{{"home", core_.self.id}, {"move", redirectServers_}, {"homes", homes}}.dump());
 }
 
 void HomeService::pollQueue(ServiceHome &home)
 {
-    const ServiceHome::Due due = home.poll(core_.clock.now());
+    const ServiceHome::PollResult due = home.poll(core_.clock.now());
     for (const ServiceHome::Assignment &assignment : due.assigned) {
         const auto found = waiting_.find(assignment.id);
         if (found != waiting_.end()) {
             found->second.server = assignment.server;
-            found->second.gate->open();
+            found->second.latch->release();
         }
     }
     for (const std::uint64_t id : due.expired) {
         const auto found = waiting_.find(id);
         if (found != waiting_.end()) {
             found->second.expired = true;
-            found->second.gate->open();
+            found->second.latch->release();
         }
     }
 }
@@ -198,16 +199,16 @@
         run.server = admission.server;
         return true;
     case Admission::Kind::Refused:
-        run.notRun(admission.reason, admission.retryAfter);
+        run.setNotRun(admission.reason, admission.retryAfter);
         return false;
     case Admission::Kind::Queued:
         break;
     }
     Waiting &waiting = waiting_[run.id];
-    waiting.gate = std::make_shared<FiberGate>();
-    run.control->interrupt = [gate = waiting.gate] { gate->open(); };
-    const std::shared_ptr<FiberGate> gate = waiting.gate;
-    gate->wait();
+    waiting.latch = std::make_shared<FiberLatch>();
+    run.control->interrupt = [latch = waiting.latch] { latch->release(); };
+    const std::shared_ptr<FiberLatch> latch = waiting.latch;
+    latch->wait();
     run.control->interrupt = {};
     const Waiting done = waiting_[run.id];
     waiting_.erase(run.id);
@@ -216,13 +217,13 @@
         return true;
     }
     run.home->cancel(run.id);
-    run.notRun(done.expired ? "expired-in-queue" : "cancelled", Millis(1000));
+    run.setNotRun(done.expired ? "expired-in-queue" : "cancelled", Millis(1000));
     return false;
 }
 
-bool HomeService::mayTryAnother(RunState &run)
+bool HomeService::mayRetry(RunState &run)
 {
-    const bool timeLeft = run.deadline - core_.clock.now() > leastTimeForRetry;
+    const bool timeLeft = run.deadline - core_.clock.now() > minTimeForRetry;
     return timeLeft && !run.control->cancelled && budgets_[run.exec.service].tryRetry();
 }
 
@@ -240,33 +241,33 @@
     run.reply.server = run.server;
     if (!error.mayHaveSentBytes) {
         run.home->addEvidence(run.server, Evidence::Failed, now);
-        run.notRun("server-unreachable", Millis(500));
-        return mayTryAnother(run);
+        run.setNotRun("server-unreachable", Millis(500));
+        return mayRetry(run);
     }
     run.mayHaveRun = true;
-    const bool cutShort = run.control->cancelled || attempt.movedOn;
-    const bool abrupt = error.failure == ExchangeFailure::Reset || error.failure == ExchangeFailure::Cut;
+    const bool abandoned = run.control->cancelled || attempt.retriedElsewhere;
+    const bool abrupt = error.failure == ExchangeFailure::Reset || error.failure == ExchangeFailure::Truncated;
     const Announcement *announced = run.home->find(run.server);
     bool died = false;
-    if (abrupt && !cutShort && announced != nullptr) {
-        died = core_.client.hasEnded(Endpoint{announced->address, announced->port});
+    if (abrupt && !abandoned && announced != nullptr) {
+        died = core_.client.hasStoppedListening(Endpoint{announced->address, announced->port});
         if (died) {
             noteDeath(run, run.server, incarnation);
         } else {
-            suspects_.push_back(Suspect{run.exec.service, run.server, incarnation, run.digest, now});
+            unconfirmedDeaths_.push_back(UnconfirmedDeath{run.exec.service, run.server, incarnation, run.digest, now});
         }
     }
-    if (!died && !cutShort && error.failure != ExchangeFailure::Timeout) {
+    if (!died && !abandoned && error.failure != ExchangeFailure::Timeout) {
         // A time-out needs no evidence of its own: the steps of lateness have given it while the request ran.
         run.home->addEvidence(run.server, Evidence::Failed, now);
     }
     const bool late = error.failure == ExchangeFailure::Timeout;
-    run.notRun(died ? "server-died" : (late ? "server-timeout" : "server-answer-lost"), Millis(1000));
+    run.setNotRun(died ? "server-died" : (late ? "server-timeout" : "server-answer-lost"), Millis(1000));
     run.reply.outcome = Outcome::Unknown;
-    if (attempt.movedOn) {
-        return run.deadline - now > leastTimeForRetry;
+    if (attempt.retriedElsewhere) {
+        return run.deadline - now > minTimeForRetry;
     }
-    return run.cls->idempotent && mayTryAnother(run);
+    return run.cls->idempotent && mayRetry(run);
 }
 
 bool HomeService::attempt(RunState &run)
@@ -275,14 +276,14 @@
     const Announcement *announced = run.home->find(run.server);
     if (announced == nullptr) {
         run.home->release(run.id, run.server, Duration(0));
-        run.notRun("no-server", Millis(1000));
+        run.setNotRun("no-server", Millis(1000));
         return false;
     }
     const Endpoint endpoint{announced->address, announced->port};
     const std::uint64_t incarnation = announced->incarnation;
     if (core_.service<PoisonService>("poison").mustRefuse(run.digest)) {
         run.home->release(run.id, run.server, Duration(0));
-        run.notRun("request-ends-servers", Millis(0));
+        run.setNotRun("request-ends-servers", Millis(0));
         return false;
     }
     HttpRequest request = run.exec.request;
@@ -306,12 +307,12 @@
         return again;
     }
     run.reply.server = run.server;
-    if (saysNotRun(*answer)) {
+    if (isNotRunResponse(*answer)) {
         core_.metrics.count("server_shed");
         run.tried.insert(run.server);
-        run.notRun("server-shed", retryAfterOf(*answer, Millis(1000)));
+        run.setNotRun("server-shed", retryAfterOf(*answer, Millis(1000)));
         pollQueue(*run.home);
-        return mayTryAnother(run);
+        return mayRetry(run);
     }
     const bool fault = isServerFault(answer->status);
     if (fault) {
@@ -325,7 +326,7 @@
     run.reply.reason.clear();
     run.reply.retryAfter = Millis(0);
     run.reply.response = *answer;
-    if (fault && run.cls->idempotent && mayTryAnother(run)) {
+    if (fault && run.cls->idempotent && mayRetry(run)) {
         run.tried.insert(run.server);
         return true;
     }
@@ -340,7 +341,7 @@
     run.cls = run.intent ? run.intent->classNamed(exec.className) : nullptr;
     const auto home = homes_.find(exec.service);
     if (home == homes_.end() || run.cls == nullptr) {
-        run.notRun(run.cls == nullptr ? "unknown-class" : "no-server", Millis(1000));
+        run.setNotRun(run.cls == nullptr ? "unknown-class" : "no-server", Millis(1000));
         return run.reply;
     }
     run.home = home->second.get();
@@ -368,7 +369,7 @@
     return run.reply;
 }
 
-void HomeService::judgeLateness(Attempt &attempt, SteadyTime now)
+void HomeService::recordLateness(Attempt &attempt, SteadyTime now)
 {
     const auto home = homes_.find(attempt.service);
     const Duration over = now - attempt.startedAt - attempt.responseTime;
@@ -379,12 +380,12 @@
     for (; attempt.lateSteps < steps; ++attempt.lateSteps) {
         const Evidence evidence = attempt.lateSteps == 0 ? Evidence::Late : Evidence::StillWaiting;
         home->second->addEvidence(attempt.server, evidence, now);
-        const bool worthMoving = attempt.lateSteps == 0 && attempt.idempotent && !attempt.movedOn;
+        const bool worthMoving = attempt.lateSteps == 0 && attempt.idempotent && !attempt.retriedElsewhere;
         std::set<std::string> tried = attempt.tried;
         tried.insert(attempt.server);
-        if (worthMoving && home->second->hasRoomBeside(tried, now) && budgets_[attempt.service].tryRetry()) {
+        if (worthMoving && home->second->hasFreeSlotExcluding(tried, now) && budgets_[attempt.service].tryRetry()) {
             // Idempotent work needn't wait for a server that stalls: it is cancelled there and tried elsewhere.
-            attempt.movedOn = true;
+            attempt.retriedElsewhere = true;
             core_.metrics.count("late_requests_moved");
             if (attempt.control->interrupt) {
                 attempt.control->interrupt();
@@ -397,7 +398,7 @@
 {
     for (const HomeDecision &decision : decisions) {
         std::vector<EventField> fields = {{"service", service}, {"server", decision.server}};
-        fields.insert(fields.end(), decision.evidence.begin(), decision.evidence.end());
+        fields.insert(fields.end(), decision.fields.begin(), decision.fields.end());
         core_.events.write(Severity::Warning, decision.event, std::move(fields));
         core_.metrics.count("decision_" + decision.event);
     }
@@ -407,7 +408,7 @@
 {
     std::map<std::string, std::uint32_t> services;
     for (const auto &[service, home] : homes_) {
-        if (!home->hasNoServers() && !sendAway_) {
+        if (!home->hasNoServers() && !redirectServers_) {
             services[service] = home->inService();
         }
     }
@@ -420,15 +421,16 @@
         sleepFor(core_.ioContext, attempts_.empty() && waiting_.empty() ? idleTick : busyTick);
         const SteadyTime now = core_.clock.now();
         for (Attempt &attempt : attempts_) {
-            judgeLateness(attempt, now);
+            recordLateness(attempt, now);
         }
         for (const auto &[service, home] : homes_) {
             logDecisions(service, home->tick(now));
             pollQueue(*home);
         }
-        suspects_.erase(std::remove_if(suspects_.begin(), suspects_.end(),
-                                       [&](const Suspect &one) { return now - one.at >= suspectMemory; }),
-                        suspects_.end());
+        unconfirmedDeaths_.erase(
+            std::remove_if(unconfirmedDeaths_.begin(), unconfirmedDeaths_.end(),
+                           [&](const UnconfirmedDeath &one) { return now - one.at >= unconfirmedDeathRetention; }),
+            unconfirmedDeaths_.end());
         publishServices();
     }
 }
@@ -446,9 +448,9 @@
     }
 }
 
-void HomeService::sendServersAway()
+void HomeService::redirectServers()
 {
-    sendAway_ = true;
+    redirectServers_ = true;
     publishServices();
 }
 
--- a/src/node/HomeService.h
+++ b/src/node/HomeService.h
@@ -14,7 +14,7 @@
 namespace waxwing {
 
 struct NodeCore;
-class FiberGate;
+class FiberLatch;
 
 /**
  * Home of the backend servers that announced themselves here: the only process that hands them work. The decisions
@@ -39,7 +39,7 @@
     /** What ingress learned of other homes' servers. */
     void addPeerEvidence(const std::string &service, bool bad);
     /** Tells servers, as they announce, to find another home. */
-    void sendServersAway();
+    void redirectServers();
     std::size_t running() const;
     /** Servers still announced here and not yet gone elsewhere. */
     std::size_t presentServers() const;
@@ -53,12 +53,12 @@
         Millis responseTime{0};
         int lateSteps = 0;
         bool idempotent = false;
-        bool movedOn = false;
+        bool retriedElsewhere = false;
         std::set<std::string> tried;
         RunControlPtr control;
     };
     /** A request that failed without an answer; whether its server died with it shows when that one returns. */
-    struct Suspect {
+    struct UnconfirmedDeath {
         std::string service;
         std::string server;
         std::uint64_t incarnation = 0;
@@ -66,7 +66,7 @@
         SteadyTime at;
     };
     struct Waiting {
-        std::shared_ptr<FiberGate> gate;
+        std::shared_ptr<FiberLatch> latch;
         std::string server;
         bool expired = false;
     };
@@ -76,14 +76,14 @@
     void applyIntent(const std::string &service);
     void tickLoop();
     void publishServices();
-    void judgeLateness(Attempt &attempt, SteadyTime now);
+    void recordLateness(Attempt &attempt, SteadyTime now);
     void pollQueue(ServiceHome &home);
     /** Waits for a server; false with the reply set if there is none to be had. */
     bool admit(RunState &run);
     /** One hand-over; true if another server should be tried. */
     bool attempt(RunState &run);
     bool handleFailure(RunState &run, const Attempt &attempt, const ExchangeError &error, std::uint64_t incarnation);
-    bool mayTryAnother(RunState &run);
+    bool mayRetry(RunState &run);
     void noteDeath(RunState &run, const std::string &server, std::uint64_t incarnation);
     void logDecisions(const std::string &service, const std::vector<HomeDecision> &decisions);
 
@@ -92,10 +92,10 @@
     std::map<std::string, RetryBudget> budgets_;
     std::map<std::uint64_t, Waiting> waiting_;
     std::list<Attempt> attempts_;
-    std::vector<Suspect> suspects_;
+    std::vector<UnconfirmedDeath> unconfirmedDeaths_;
     std::uint64_t nextId_ = 1;
     std::size_t running_ = 0;
-    bool sendAway_ = false;
+    bool redirectServers_ = false;
 };
 
 } // namespace waxwing
--- a/src/node/IngressService.cpp
+++ b/src/node/IngressService.cpp
@@ -20,8 +20,8 @@
 constexpr const char *reasonHeader = "Waxwing-Reason";
 constexpr const char *retryAfterMsHeader = "Waxwing-Retry-After-Ms";
 const std::string reservedPrefix = "/.waxwing/";
-constexpr std::size_t longestKey = 256;
-constexpr std::size_t longestCustomer = 128;
+constexpr std::size_t maxKeyBytes = 256;
+constexpr std::size_t maxCustomerBytes = 128;
 constexpr unsigned firstServerError = 500;
 
 std::string withoutPort(std::string_view host)
@@ -96,7 +96,7 @@
             return refuse(404, "unknown-path", "POST /.waxwing/ticket is the only path here", Millis(0));
         }
         return HttpReply{
-            jsonResponse(200, "{\"ticket\":\"" + core_.service<ClaimService>("claims").mintTicket() + "\"}\n"),
+            jsonResponse(200, "{\"ticket\":\"" + core_.service<ClaimService>("claims").issueTicket() + "\"}\n"),
             AfterResponse::KeepOpen};
     }
     if (core_.draining) {
@@ -121,7 +121,7 @@
     Exec &exec = admitted.exec;
     exec.service = service;
     exec.className = admitted.cls->name;
-    exec.customer = std::string(headerValue(request.headers, "Waxwing-Customer")).substr(0, longestCustomer);
+    exec.customer = std::string(headerValue(request.headers, "Waxwing-Customer")).substr(0, maxCustomerBytes);
     exec.remaining = admitted.cls->deadline;
     const std::string_view deadline = headerValue(request.headers, "Waxwing-Deadline-Ms");
     if (!deadline.empty()) {
@@ -135,7 +135,7 @@
     }
     if (!admitted.cls->idempotent) {
         admitted.key = std::string(headerValue(request.headers, "Idempotency-Key"));
-        if (admitted.key.size() > longestKey) {
+        if (admitted.key.size() > maxKeyBytes) {
             return refuse(400, "malformed-key", "Idempotency-Key is longer than 256 bytes", Millis(0));
         }
     }
@@ -153,7 +153,7 @@
         return core_.service<ClaimService>("claims").run(admitted.key, admitted.exec, *admitted.cls);
     }
     const auto control = std::make_shared<RunControl>();
-    caller->onGone = [control] { control->cancel(); };
+    caller->onDisconnect = [control] { control->cancel(); };
     return core_.service<DispatchService>("dispatch").run(admitted.exec, *admitted.cls, control);
 }
 
@@ -218,7 +218,7 @@
         const auto intent = core_.service<IntentService>("intents").find(exec.service);
         const ClassIntent *cls = intent ? intent->classNamed(exec.className) : nullptr;
         if (cls != nullptr && exec.stage == ExecStage::Claim) {
-            reply = core_.service<ClaimService>("claims").claimHere(exec, *cls);
+            reply = core_.service<ClaimService>("claims").claimLocally(exec, *cls);
         } else if (cls != nullptr) {
             const auto control = std::make_shared<RunControl>();
             remote_[{link, exec.id}] = control;
--- a/src/node/IntentService.cpp
+++ b/src/node/IntentService.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr std::size_t watchers = 3;
+constexpr std::size_t watcherCount = 3;
 constexpr Millis firstBackoff{250};
-constexpr Millis longestBackoff{5000};
-constexpr Millis watcherCheck{1000};
+constexpr Millis maxBackoff{5000};
+constexpr Millis watcherCheckInterval{1000};
 
 Record recordOf(const StoredObject &object)
 {
@@ -34,7 +34,7 @@
     : core_(core)
 {
     core_.service<GossipService>("gossip").onRecord(RecordKind::Service,
-                                                    [this](const Record &record) { take(record); });
+                                                    [this](const Record &record) { applyRecord(record); });
 }
 
 void IntentService::start()
@@ -47,7 +47,7 @@
     hooks_.push_back(std::move(hook));
 }
 
-void IntentService::take(const Record &record)
+void IntentService::applyRecord(const Record &record)
 {
     const nlohmann::json body = nlohmann::json::from_cbor(record.payload, true, false);
     const bool readable = body.is_array() && body.size() == 2 && body[0].is_boolean() && body[1].is_string();
@@ -88,7 +88,7 @@
 bool IntentService::isWatcher() const
 {
     const std::vector<std::string> first =
-        firstByHash("watch", core_.service<GossipService>("gossip").upIds(), watchers);
+        firstByHash("watch", core_.service<GossipService>("gossip").upIds(), watcherCount);
     return std::find(first.begin(), first.end(), core_.self.id) != first.end();
 }
 
@@ -101,7 +101,7 @@
     while (!core_.stopping) {
         if (!isWatcher()) {
             since = 0;
-            sleepFor(core_.ioContext, watcherCheck);
+            sleepFor(core_.ioContext, watcherCheckInterval);
             continue;
         }
         const Expected<ObjectChanges> changes = api.watch(serviceKind, WatchCall{since, core_.settings.times.watch});
@@ -110,7 +110,7 @@
             // Jitter: after an outage not every watcher comes back at the same moment.
             const Millis pause(static_cast<std::int64_t>(core_.random() % static_cast<std::uint64_t>(backoff.count())));
             sleepFor(core_.ioContext, backoff / 2 + pause);
-            backoff = std::min(longestBackoff, backoff * 2);
+            backoff = std::min(maxBackoff, backoff * 2);
             continue;
         }
         backoff = firstBackoff;
--- a/src/node/IntentService.h
+++ b/src/node/IntentService.h
@@ -49,7 +49,7 @@
         std::string refusal;
     };
 
-    void take(const Record &record);
+    void applyRecord(const Record &record);
     void watchLoop();
     bool isWatcher() const;
 
--- a/src/node/MembershipService.cpp
+++ b/src/node/MembershipService.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Millis joinEvery{1000};
+constexpr Millis joinInterval{1000};
 const std::string nodeKind = "node";
 
 } // namespace
@@ -77,8 +77,8 @@
                                 {"incarnation", core_.self.incarnation}};
     (void)api.update(nodeKind, core_.self.id, ownVersion, own.dump());
     std::shuffle(values.begin(), values.end(), core_.random);
-    constexpr std::size_t enough = 3;
-    for (std::size_t i = 0; i < values.size() && i < enough; ++i) {
+    constexpr std::size_t maxStoredPeers = 3;
+    for (std::size_t i = 0; i < values.size() && i < maxStoredPeers; ++i) {
         Findings findings;
         const nlohmann::json value = nlohmann::json::parse(values[i], nullptr, false);
         const bool readable = value.is_object() && value.contains("peers") && value["peers"].is_string();
@@ -112,7 +112,7 @@
         if (!down.empty()) {
             joinThrough(down[core_.random() % down.size()]);
         }
-        sleepFor(core_.ioContext, joinEvery);
+        sleepFor(core_.ioContext, joinInterval);
     }
 }
 
@@ -121,7 +121,7 @@
     PeerHub &peers = core_.service<PeerHub>("peers");
     while (!core_.stopping) {
         sleepFor(core_.ioContext, core_.settings.times.ping);
-        peers.closeStrangers(core_.settings.times.pingTimeout);
+        peers.closeUnidentified(core_.settings.times.pingTimeout);
         std::set<std::string> watched;
         for (const std::string &id : gossip_.partners()) {
             const NodeRecord *one = gossip_.node(id);
@@ -129,26 +129,26 @@
                 continue;
             }
             watched.insert(id);
-            silentSince_.emplace(id, core_.clock.now());
+            unansweredSince_.emplace(id, core_.clock.now());
             spawnFiber([this, &peers, ref = one->ref, endpoint = Endpoint{one->address, one->peerPort}] {
                 const Expected<void> pong = peers.ping(ref, endpoint, core_.settings.times.ping);
                 const NodeRecord *now = gossip_.node(ref.id);
                 if (pong) {
-                    silentSince_.erase(ref.id);
+                    unansweredSince_.erase(ref.id);
                 } else if (now != nullptr && now->ref == ref && now->state == NodeState::Up && !core_.stopping) {
-                    const auto since = silentSince_.find(ref.id);
-                    const bool tooLong = since != silentSince_.end()
+                    const auto since = unansweredSince_.find(ref.id);
+                    const bool tooLong = since != unansweredSince_.end()
                                          && core_.clock.now() - since->second >= core_.settings.times.pingTimeout;
                     if (tooLong) {
-                        peers.drop(ref);
+                        peers.disconnect(ref);
                         declareDown(NodeRecord(*now));
-                        silentSince_.erase(ref.id);
+                        unansweredSince_.erase(ref.id);
                     }
                 }
             });
         }
-        for (auto it = silentSince_.begin(); it != silentSince_.end();) {
-            it = watched.count(it->first) == 0 ? silentSince_.erase(it) : std::next(it);
+        for (auto it = unansweredSince_.begin(); it != unansweredSince_.end();) {
+            it = watched.count(it->first) == 0 ? unansweredSince_.erase(it) : std::next(it);
         }
     }
 }
--- a/src/node/MembershipService.h
+++ b/src/node/MembershipService.h
@@ -33,7 +33,7 @@
 
     NodeCore &core_;
     GossipService &gossip_;
-    std::map<std::string, SteadyTime> silentSince_;
+    std::map<std::string, SteadyTime> unansweredSince_;
 };
 
 } // namespace waxwing
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-constexpr Millis housekeeping{1000};
-constexpr Millis stopPoll{20};
+constexpr Millis housekeepingInterval{1000};
+constexpr Millis stopPollInterval{20};
 /** News of the leaving travels this long before the links close. */
-constexpr Millis lastWords{150};
+constexpr Millis leaveGrace{150};
 
 } // namespace
 
@@ -63,7 +63,7 @@
     Kernel &kernel = core.kernel;
     PeerHub::Hooks hooks;
     hooks.onMessage = [this](LinkId link, const NodeRef &from, const Message &message) { route(link, from, message); };
-    hooks.onGarbage = [this](const std::string &reason) {
+    hooks.onMalformed = [this](const std::string &reason) {
         core.metrics.count("link_garbage");
         core.events.write(Severity::Warning, "link_garbage", {{"reason", reason}});
     };
@@ -85,7 +85,7 @@
         return std::make_unique<PoisonService>(core, [this](const Record &record) { gossip->publishNow(record); });
     });
     if (ok) {
-        gossip->onRecord(RecordKind::Poison, [this](const Record &record) { poison->take(record); });
+        gossip->onRecord(RecordKind::Poison, [this](const Record &record) { poison->applyRecord(record); });
     }
     add("homes", homes, [&] { return std::make_unique<HomeService>(core); });
     add("dispatch", dispatch, [&] { return std::make_unique<DispatchService>(core); });
@@ -151,7 +151,7 @@
 void Node::Parts::housekeepingLoop()
 {
     while (!core.stopping) {
-        sleepFor(core.ioContext, housekeeping);
+        sleepFor(core.ioContext, housekeepingInterval);
         claims->expire();
         dispatch->expire();
         poison->expire();
@@ -208,18 +208,18 @@
     core.events.write(Severity::Info, "node_stopping", {{"node", core.self.text()}});
     core.draining = true;
     parts_->callerServer->drain();
-    parts_->homes->sendServersAway();
+    parts_->homes->redirectServers();
     parts_->claims->handOver(left());
     const auto busy = [&] {
         return parts_->ingress->running() > 0 || parts_->homes->running() > 0
                || parts_->callerServer->requestsInFlight() > 0 || parts_->homes->presentServers() > 0;
     };
     while (busy() && left() > Duration(0)) {
-        sleepFor(core.ioContext, stopPoll);
+        sleepFor(core.ioContext, stopPollInterval);
     }
     const bool clean = parts_->ingress->running() == 0 && parts_->homes->running() == 0;
     parts_->gossip->leave();
-    sleepFor(core.ioContext, lastWords);
+    sleepFor(core.ioContext, leaveGrace);
     core.stopping = true;
     parts_->operatorServer->drain();
     parts_->peers->stop();
--- a/src/node/OperatorApi.cpp
+++ b/src/node/OperatorApi.cpp
@@ -20,7 +20,7 @@
 using nlohmann::json;
 
 constexpr std::size_t defaultEvents = 100;
-constexpr std::size_t mostEvents = 4096;
+constexpr std::size_t maxEvents = 4096;
 
 std::string dump(const json &value)
 {
@@ -95,8 +95,8 @@
     const auto reply = [](unsigned status, std::string body) {
         return HttpReply{jsonResponse(status, std::move(body)), AfterResponse::KeepOpen};
     };
-    const std::size_t question = request.target.find('?');
-    const std::string path = request.target.substr(0, question);
+    const std::size_t queryStart = request.target.find('?');
+    const std::string path = request.target.substr(0, queryStart);
     if (path == "/v1/announce") {
         if (request.method != "POST") {
             return reply(405, "{\"error\":\"POST an announcement here\"}\n");
@@ -113,7 +113,7 @@
     }
     // Every view has at most one argument, whatever its name.
     const std::size_t equals =
-        request.target.find('=', question == std::string::npos ? request.target.size() : question);
+        request.target.find('=', queryStart == std::string::npos ? request.target.size() : queryStart);
     const std::string argument = equals == std::string::npos ? "" : request.target.substr(equals + 1);
     return reply(200, view->second(argument));
 }
@@ -139,7 +139,7 @@
                  {"draining", core_.draining},
                  {"nodesUp", gossip.upIds().size()},
                  {"records", gossip.table().size()},
-                 {"links", peers.openLinks()},
+                 {"links", peers.openLinkCount()},
                  {"linkBytesSent", peers.bytesSent()},
                  {"linkBytesReceived", peers.bytesReceived()},
                  {"configurations", intents.size()},
@@ -179,14 +179,15 @@
 
 std::string OperatorApi::explain(const std::string &subject) const
 {
-    return dump({{"node", core_.self.id}, {"subject", subject}, {"events", eventsJson(core_.events.about(subject))}});
+    return dump(
+        {{"node", core_.self.id}, {"subject", subject}, {"events", eventsJson(core_.events.matching(subject))}});
 }
 
 std::string OperatorApi::newestEvents(const std::string &count) const
 {
     const long asked = std::strtol(count.c_str(), nullptr, 10);
     const std::size_t wanted =
-        asked > 0 ? std::min<std::size_t>(mostEvents, static_cast<std::size_t>(asked)) : defaultEvents;
+        asked > 0 ? std::min<std::size_t>(maxEvents, static_cast<std::size_t>(asked)) : defaultEvents;
     return dump({{"node", core_.self.id}, {"events", eventsJson(core_.events.newest(wanted))}});
 }
 
--- a/src/node/PoisonService.cpp
+++ b/src/node/PoisonService.cpp
@@ -5,13 +5,13 @@
 
 namespace waxwing {
 
-PoisonService::PoisonService(NodeCore &core, SpreadHook spread)
+PoisonService::PoisonService(NodeCore &core, BroadcastHook broadcast)
     : core_(core)
-    , spread_(std::move(spread))
+    , broadcast_(std::move(broadcast))
     , registry_(core.clock)
 { }
 
-void PoisonService::take(const Record &record)
+void PoisonService::applyRecord(const Record &record)
 {
     if (const std::optional<PoisonDeath> death = poisonDeathFrom(record)) {
         registry_.noteDeath(death->digest, death->server);
@@ -28,7 +28,7 @@
         {{"server", server}, {"digest", hexText(digest)}, {"deaths", std::to_string(registry_.deaths(digest))}});
     const Record record = toRecord(PoisonDeath{digest, server}, core_.clock.wallNow());
     // At once rather than with the next batch: the caller may send the same request to another node.
-    spread_(record);
+    broadcast_(record);
 }
 
 bool PoisonService::mustRefuse(std::uint64_t digest) const
--- a/src/node/PoisonService.h
+++ b/src/node/PoisonService.h
@@ -15,11 +15,11 @@
 {
 public:
     /** Tells the other nodes, at once. */
-    using SpreadHook = std::function<void(const Record &)>;
+    using BroadcastHook = std::function<void(const Record &)>;
 
-    PoisonService(NodeCore &core, SpreadHook spread);
+    PoisonService(NodeCore &core, BroadcastHook broadcast);
     /** Another node's record of a death. */
-    void take(const Record &record);
+    void applyRecord(const Record &record);
     /** A server died while it ran the request of this digest. @p server includes its incarnation. */
     void noteDeath(std::uint64_t digest, const std::string &server);
     bool mustRefuse(std::uint64_t digest) const;
@@ -28,7 +28,7 @@
 
 private:
     NodeCore &core_;
-    SpreadHook spread_;
+    BroadcastHook broadcast_;
     PoisonRegistry registry_;
 };
 
--- a/src/node/RunControl.h
+++ b/src/node/RunControl.h
@@ -11,13 +11,13 @@
 struct RunControl {
     bool cancelled = false;
     /** The answer is wanted only if the request has begun to run. */
-    bool withdrawn = false;
+    bool queuedCancelled = false;
     /** Ends the wait or exchange that is going on now. */
     std::function<void()> interrupt;
     /** Ends the wait for a server that is going on now; nothing once the request runs. */
-    std::function<void()> onWithdraw;
+    std::function<void()> onCancelQueued;
     /** Nobody could say what became of the request. It is asked for on, and may be tried elsewhere beside. */
-    std::function<void()> onFateUnknown;
+    std::function<void()> onOutcomeUnknown;
 
     void cancel()
     {
@@ -27,11 +27,11 @@
         }
     }
 
-    void withdraw()
+    void cancelQueued()
     {
-        withdrawn = true;
-        if (onWithdraw) {
-            onWithdraw();
+        queuedCancelled = true;
+        if (onCancelQueued) {
+            onCancelQueued();
         }
     }
 };
--- a/src/poison/PoisonRegistry.cpp
+++ b/src/poison/PoisonRegistry.cpp
@@ -39,9 +39,9 @@
     return death;
 }
 
-PoisonRegistry::PoisonRegistry(const Clock &clock, Millis memory)
+PoisonRegistry::PoisonRegistry(const Clock &clock, Millis retention)
     : clock_(clock)
-    , memory_(memory)
+    , retention_(retention)
 { }
 
 bool PoisonRegistry::noteDeath(std::uint64_t digest, const std::string &server)
@@ -66,7 +66,7 @@
 {
     const SteadyTime now = clock_.now();
     for (auto it = entries_.begin(); it != entries_.end();) {
-        it = now - it->second.lastDeath >= memory_ ? entries_.erase(it) : std::next(it);
+        it = now - it->second.lastDeath >= retention_ ? entries_.erase(it) : std::next(it);
     }
 }
 
--- a/src/report/BurnRecorder.cpp
+++ b/src/report/BurnRecorder.cpp
@@ -51,11 +51,11 @@
 {
     BurnSlices kept;
     for (const BurnSlice &one : slices) {
-        if (now - one.start > memory) {
+        if (now - one.start > retention) {
             continue;
         }
         const auto age = now - one.start;
-        const Millis length = age <= fineMemory ? slice : (age <= hourlyMemory ? hourlySlice : coarseSlice);
+        const Millis length = age <= fineRetention ? slice : (age <= hourlyRetention ? hourlySlice : coarseSlice);
         const WallTime start = sliceStart(one.start, length);
         if (!kept.empty() && kept.back().start >= start) {
             kept.back().counts.add(one.counts);
@@ -115,26 +115,25 @@
     return out.dump();
 }
 
-std::vector<BurnFigure> burnFigures(const BurnSlices &slices, double successRate, WallTime now)
+std::vector<BurnRate> burnRates(const BurnSlices &slices, double successRate, WallTime now)
 {
-    std::vector<BurnFigure> figures;
+    std::vector<BurnRate> rates;
     for (const Window &window : windows) {
-        BurnFigure figure;
-        figure.label = window.label;
+        BurnRate rate;
+        rate.label = window.label;
         for (const BurnSlice &one : slices) {
             if (now - one.start <= window.length) {
-                figure.counts.add(one.counts);
+                rate.counts.add(one.counts);
             }
         }
         const double allowed = 1.0 - successRate;
-        if (figure.counts.total() > 0 && allowed > 0.0) {
-            const double badShare =
-                static_cast<double>(figure.counts.bad()) / static_cast<double>(figure.counts.total());
-            figure.burn = badShare / allowed;
+        if (rate.counts.total() > 0 && allowed > 0.0) {
+            const double badShare = static_cast<double>(rate.counts.bad()) / static_cast<double>(rate.counts.total());
+            rate.burn = badShare / allowed;
         }
-        figures.push_back(figure);
+        rates.push_back(rate);
     }
-    return figures;
+    return rates;
 }
 
 } // namespace waxwing
--- a/src/route/HomeChooser.cpp
+++ b/src/route/HomeChooser.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 /** Load that was heard longer ago than this says nothing any more. */
-constexpr Millis loadMemory = std::chrono::seconds(2);
-constexpr Millis idleMemory = std::chrono::seconds(60);
-constexpr Millis firstPathPause{500};
-constexpr int mostPathDoublings = 6;
+constexpr Millis maxLoadAge = std::chrono::seconds(2);
+constexpr Millis idleExpiry = std::chrono::seconds(60);
+constexpr Millis initialPathBackoff{500};
+constexpr int maxPathDoublings = 6;
 constexpr double busyCost = 8.0;
-constexpr double badPathCost = 1000.0;
+constexpr double failedPathCost = 1000.0;
 /** A home whose servers fail is avoided for a while: the floor may keep sick servers in service there. */
 constexpr double failingCost = 20.0;
 constexpr double failedSmoothing = 0.3;
-constexpr Millis failedMemory = std::chrono::seconds(5);
+constexpr Millis maxFailureAge = std::chrono::seconds(5);
 
 double distanceCost(Distance distance)
 {
@@ -42,18 +42,18 @@
 double HomeChooser::cost(const std::string &service, const HomeCandidate &candidate, SteadyTime now) const
 {
     double cost = distanceCost(candidate.distance);
-    if (isPathBad(candidate.node, now)) {
-        cost += badPathCost;
+    if (isPathFailed(candidate.node, now)) {
+        cost += failedPathCost;
     }
     const auto found = loads_.find({service, candidate.node});
     if (found == loads_.end()) {
         return cost;
     }
     const Load &load = found->second;
-    const bool fresh = now - load.heardAt < loadMemory;
+    const bool fresh = now - load.loadAt < maxLoadAge;
     const double servers = std::max<std::uint32_t>(1, candidate.servers);
     cost += load.inFlight / servers;
-    if (now - load.judgedAt < failedMemory) {
+    if (now - load.lastResultAt < maxFailureAge) {
         cost += load.failedShare * failingCost;
     }
     if (fresh) {
@@ -94,7 +94,7 @@
     Load &load = loads_[{service, home}];
     load.freeSlots = freeSlots;
     load.queued = queued;
-    load.heardAt = now;
+    load.loadAt = now;
 }
 
 void HomeChooser::noteDone(const std::string &service, const NodeRef &home, bool failed, SteadyTime now)
@@ -106,35 +106,35 @@
     Load &load = found->second;
     load.inFlight -= load.inFlight > 0 ? 1 : 0;
     load.failedShare += failedSmoothing * ((failed ? 1.0 : 0.0) - load.failedShare);
-    load.judgedAt = now;
+    load.lastResultAt = now;
 }
 
 void HomeChooser::notePathFailure(const NodeRef &home, SteadyTime now)
 {
     Path &path = paths_[home];
-    path.badUntil = now + firstPathPause * (1 << std::min(path.failures, mostPathDoublings));
+    path.failedUntil = now + initialPathBackoff * (1 << std::min(path.failures, maxPathDoublings));
     ++path.failures;
 }
 
-void HomeChooser::notePathGood(const NodeRef &home)
+void HomeChooser::notePathRecovered(const NodeRef &home)
 {
     paths_.erase(home);
 }
 
-bool HomeChooser::isPathBad(const NodeRef &home, SteadyTime now) const
+bool HomeChooser::isPathFailed(const NodeRef &home, SteadyTime now) const
 {
     const auto found = paths_.find(home);
-    return found != paths_.end() && now < found->second.badUntil;
+    return found != paths_.end() && now < found->second.failedUntil;
 }
 
 void HomeChooser::expire(SteadyTime now)
 {
     for (auto it = loads_.begin(); it != loads_.end();) {
-        const bool idle = it->second.inFlight == 0 && now - it->second.heardAt >= idleMemory;
+        const bool idle = it->second.inFlight == 0 && now - it->second.loadAt >= idleExpiry;
         it = idle ? loads_.erase(it) : std::next(it);
     }
     for (auto it = paths_.begin(); it != paths_.end();) {
-        it = now - it->second.badUntil >= idleMemory ? paths_.erase(it) : std::next(it);
+        it = now - it->second.failedUntil >= idleExpiry ? paths_.erase(it) : std::next(it);
     }
 }
 
--- a/src/route/HomeSearch.cpp
+++ b/src/route/HomeSearch.cpp
@@ -6,14 +6,14 @@
     : tuning_(tuning)
 { }
 
-bool HomeSearch::mayGoOn() const
+bool HomeSearch::canContinue() const
 {
-    return sends_ < tuning_.mostSends;
+    return sends_ < tuning_.maxSends;
 }
 
-bool HomeSearch::settles() const
+bool HomeSearch::mustQueue() const
 {
-    return sends_ >= tuning_.sendsBeforeSettling;
+    return sends_ >= tuning_.sendsBeforeQueuing;
 }
 
 void HomeSearch::noteSent(const std::string &home)
@@ -24,7 +24,7 @@
 
 void HomeSearch::noteRefused(const std::string &home)
 {
-    if (++refusals_[home] < tuning_.mostRefusals) {
+    if (++refusals_[home] < tuning_.maxRefusalsPerHome) {
         excluded_.erase(home);
     }
 }
--- a/src/settings/NodeSettings.cpp
+++ b/src/settings/NodeSettings.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr Millis shortest{1};
-constexpr Millis longest = std::chrono::hours(24);
+constexpr Millis minDuration{1};
+constexpr Millis maxDuration = std::chrono::hours(24);
 
-bool isIpNumber(const std::string &text)
+bool isIpAddress(const std::string &text)
 {
     in6_addr scratch{};
     return inet_pton(AF_INET, text.c_str(), &scratch) == 1 || inet_pton(AF_INET6, text.c_str(), &scratch) == 1;
@@ -74,9 +74,9 @@
     }
     constexpr std::int64_t million = 1000000;
     JsonReader reader(value, "/limits", findings);
-    const auto read = [&](const char *key, auto &field, std::int64_t least, std::int64_t most) {
-        field = static_cast<std::decay_t<decltype(field)>>(
-            reader.integer(key, static_cast<std::int64_t>(field), least, most));
+    const auto read = [&](const char *key, auto &field, std::int64_t min, std::int64_t max) {
+        field =
+            static_cast<std::decay_t<decltype(field)>>(reader.integer(key, static_cast<std::int64_t>(field), min, max));
     };
     read("bodyBytes", limits.bodyBytes, 1024, 64 * million);
     read("headerBytes", limits.headerBytes, 1024, million);
@@ -98,7 +98,9 @@
         return;
     }
     JsonReader reader(value, "/times", findings);
-    const auto read = [&](const char *key, Millis &field) { field = reader.duration(key, field, shortest, longest); };
+    const auto read = [&](const char *key, Millis &field) {
+        field = reader.duration(key, field, minDuration, maxDuration);
+    };
     read("ticketValidity", times.ticketValidity);
     read("announceTimeout", times.announceTimeout);
     read("ping", times.ping);
@@ -141,7 +143,7 @@
     const auto parsed = hasPort ? std::from_chars(text.data() + colon + 1, end, port) : std::from_chars_result{};
     endpoint.address = text.substr(0, colon);
     if (!hasPort || parsed.ec != std::errc() || parsed.ptr != end || port > std::numeric_limits<std::uint16_t>::max()
-        || !isIpNumber(endpoint.address)) {
+        || !isIpAddress(endpoint.address)) {
         findings.add(place, "must be an IP number and a port such as 127.0.0.1:8080, not \"" + text + "\"");
         return {};
     }
@@ -160,7 +162,7 @@
     settings.node = reader.requiredText("node");
     settings.zone = reader.requiredText("zone");
     settings.region = reader.requiredText("region");
-    if (!settings.node.empty() && !isName(settings.node)) {
+    if (!settings.node.empty() && !isValidName(settings.node)) {
         findings.add("/node", "is 1 to 63 letters, digits, '-', '_' or '.'");
     }
     if (!reader.has("listen")) {
--- a/src/sidecar/CallerFront.cpp
+++ b/src/sidecar/CallerFront.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned unavailable = 503;
 constexpr unsigned gatewayTimeout = 504;
 /** A node that knows no configuration yet learns it within about this time. */
-constexpr Millis noConfigRetry{1000};
+constexpr Millis noConfigRetryAfter{1000};
 
 Millis toMillis(Duration value)
 {
@@ -35,7 +35,7 @@
     return result.reason == "timeout" || result.reason == "server-timeout" ? gatewayTimeout : badGateway;
 }
 
-BurnResult burnOf(const ForwardResult &result, Duration took, const Route &route)
+BurnResult burnResultOf(const ForwardResult &result, Duration took, const Route &route)
 {
     constexpr unsigned firstServerError = 500;
     if (result.outcome == Outcome::NotRun) {
@@ -52,22 +52,22 @@
 
 } // namespace
 
-CallerFront::CallerFront(NodeCore &core)
+CallerHandler::CallerHandler(NodeCore &core)
     : core_(core)
 { }
 
-HttpReply CallerFront::handleReadiness(const HttpRequest &request)
+HttpReply CallerHandler::handleReadiness(const HttpRequest &request)
 {
     constexpr unsigned ok = 200;
-    if (!platform::isReadinessQuestion(request)) {
+    if (!platform::isReadinessCheck(request)) {
         return HttpReply{jsonResponse(noRoute, "{\"error\":\"unknown path\"}\n"), AfterResponse::KeepOpen};
     }
-    ConfigFollower &config = core_.service<ConfigFollower>("config");
+    ConfigSync &config = core_.service<ConfigSync>("config");
     const std::uint64_t version = config.version();
     const SteadyTime now = core_.clock.now();
-    const bool ready = !core_.draining && version > 0 && config.freshness().mayServeCallers(now, saidReady_);
-    if (ready != saidReady_) {
-        saidReady_ = ready;
+    const bool ready = !core_.draining && version > 0 && config.freshness().mayServeCallers(now, lastReady_);
+    if (ready != lastReady_) {
+        lastReady_ = ready;
         const std::optional<Duration> age = config.freshness().age(now);
         core_.events.write(Severity::Info, ready ? "node_ready" : "node_not_ready",
                            {{"config", std::to_string(version)},
@@ -77,21 +77,21 @@
     return HttpReply{jsonResponse(ready ? ok : unavailable, "{}\n"), AfterResponse::KeepOpen};
 }
 
-void CallerFront::configChanged()
+void CallerHandler::configChanged()
 {
-    parts_.clear();
+    balancer_.clear();
 }
 
-HttpReply CallerFront::refuse(unsigned status, const std::string &requestId, const std::string &reason,
-                              Millis retryAfter)
+HttpReply CallerHandler::refuse(unsigned status, const std::string &requestId, const std::string &reason,
+                                Millis retryAfter)
 {
     core_.metrics.count("refused_" + reason);
     core_.events.writeRequest(Severity::Warning, "refused",
                               {{"request", requestId}, {"status", std::to_string(status)}, {"reason", reason}});
-    return HttpReply{platform::ownAnswer(status, requestId, reason, retryAfter), AfterResponse::KeepOpen};
+    return HttpReply{platform::errorResponse(status, requestId, reason, retryAfter), AfterResponse::KeepOpen};
 }
 
-HttpReply CallerFront::handle(HttpRequest request, const CallerWatchPtr &caller)
+HttpReply CallerHandler::handle(HttpRequest request, const CallerWatchPtr &caller)
 {
     const auto job = std::make_shared<ForwardJob>();
     job->arrived = core_.clock.now();
@@ -101,23 +101,23 @@
         return refuse(badRequest, "", decoded.error().message, Millis(0));
     }
     job->requestId = decoded->id;
-    job->config = core_.service<ConfigFollower>("config").current();
+    job->config = core_.service<ConfigSync>("config").current();
     if (!job->config) {
-        return refuse(unavailable, job->requestId, "no-configuration", noConfigRetry);
+        return refuse(unavailable, job->requestId, "no-configuration", noConfigRetryAfter);
     }
     job->route = job->config->routeFor(decoded->host, decoded->forward.target);
     if (job->route == nullptr) {
         return refuse(noRoute, job->requestId, "no-route", Millis(0));
     }
     const Route &route = *job->route;
-    job->service = parts_.pick(route);
+    job->service = balancer_.pick(route);
     job->request = std::move(decoded->forward);
-    job->deadline = job->arrived + std::min(route.timeout, decoded->patience.value_or(route.timeout));
+    job->deadline = job->arrived + std::min(route.timeout, decoded->timeout.value_or(route.timeout));
     job->control = std::make_shared<RunControl>();
-    caller->onGone = [control = job->control] { control->cancel(); };
+    caller->onDisconnect = [control = job->control] { control->cancel(); };
     ForwardResult result = core_.service<Forwarder>("forwarder").run(job);
     const Duration took = core_.clock.now() - job->arrived;
-    core_.service<BurnRecorder>("burn").record(job->service, route.name, burnOf(result, took, route));
+    core_.service<BurnRecorder>("burn").record(job->service, route.name, burnResultOf(result, took, route));
     core_.metrics.count(std::string("outcome_") + outcomeName(result.outcome));
     core_.metrics.observe("request", took);
     const bool hasAnswer = result.outcome == Outcome::Ran;
@@ -135,7 +135,7 @@
     if (hasAnswer) {
         return HttpReply{std::move(result.response), AfterResponse::KeepOpen};
     }
-    return HttpReply{platform::ownAnswer(status, job->requestId, result.reason, result.retryAfter),
+    return HttpReply{platform::errorResponse(status, job->requestId, result.reason, result.retryAfter),
                      AfterResponse::KeepOpen};
 }
 
--- a/src/sidecar/CallerFront.h
+++ b/src/sidecar/CallerFront.h
@@ -12,10 +12,10 @@
  * The callers' side of a node on the platform: finds the route, has the request run, and puts the outcome into a status
  * that is true. A 503 is only given for work that has not run and never will. Not thread safe.
  */
-class CallerFront
+class CallerHandler
 {
 public:
-    explicit CallerFront(NodeCore &core);
+    explicit CallerHandler(NodeCore &core);
     /** @pre called from a fiber. */
     HttpReply handle(HttpRequest request, const CallerWatchPtr &caller);
     /** Answers the platform's question whether this node takes callers. */
@@ -27,9 +27,9 @@
     HttpReply refuse(unsigned status, const std::string &requestId, const std::string &reason, Millis retryAfter);
 
     NodeCore &core_;
-    PartPicker parts_;
+    WeightedRoundRobin balancer_;
     /** The last answer to the platform's question. */
-    bool saidReady_ = false;
+    bool lastReady_ = false;
 };
 
 } // namespace waxwing
--- a/src/sidecar/ConfigFollower.cpp
+++ b/src/sidecar/ConfigFollower.cpp
@@ -15,49 +15,49 @@
  * An acknowledged change is due everywhere within some 2.5 s. This is for watches that have gone silent, which a node
  * has 4 s to notice; other nodes' confirmations mostly come before it.
  */
-constexpr Millis askBesideWatch{2200};
+constexpr Millis pollAge{2200};
 /** Each end of a watcher's wait confirms the version for its whole region, which relies on nothing else. */
-constexpr Millis shortestConfigWait{500};
-constexpr Millis longestConfigWait{1000};
+constexpr Millis minConfigWait{500};
+constexpr Millis maxConfigWait{1000};
 
 } // namespace
 
-ConfigFollower::ConfigFollower(NodeCore &core)
+ConfigSync::ConfigSync(NodeCore &core)
     : core_(core)
 {
     StoreWatchTuning tuning;
-    tuning.lookAfter = askBesideWatch;
-    tuning.shortestWait = shortestConfigWait;
-    tuning.longestWait = longestConfigWait;
+    tuning.pollAfter = pollAge;
+    tuning.minWait = minConfigWait;
+    tuning.maxWait = maxConfigWait;
     tuning.role = [this] {
-        return core_.service<RegionWatch>("region-watch").decide(watch_->freshness().age(core_.clock.now()));
+        return core_.service<RegionWatch>("region-watch").updateRole(watch_->freshness().age(core_.clock.now()));
     };
     watch_ = std::make_unique<StoreWatch>(core_, platform::names::configKind, tuning,
-                                          [this](const ObjectChanges &changes) { takeAll(changes); });
+                                          [this](const ObjectChanges &changes) { handleChanges(changes); });
 }
 
-ConfigFollower::~ConfigFollower() = default;
+ConfigSync::~ConfigSync() = default;
 
-void ConfigFollower::start()
+void ConfigSync::start()
 {
     spawnFiber([this] { watch_->run(); });
 }
 
-void ConfigFollower::onChange(ChangeHook hook)
+void ConfigSync::onChange(ChangeHook hook)
 {
     hooks_.push_back(std::move(hook));
 }
 
-void ConfigFollower::takeAll(const ObjectChanges &changes)
+void ConfigSync::handleChanges(const ObjectChanges &changes)
 {
     for (const StoredObject &object : changes.objects) {
         if (object.name == platform::names::configName && !object.deleted) {
-            take(object.value, "store revision " + std::to_string(object.version));
+            applyDocument(object.value, "store revision " + std::to_string(object.version));
         }
     }
 }
 
-void ConfigFollower::take(const std::string &document, const std::string &source)
+void ConfigSync::applyDocument(const std::string &document, const std::string &source)
 {
     // Decoding a large document takes a slow VM a second, and lists bring the one in force again.
     if (current_ && document == current_->source) {
@@ -98,27 +98,27 @@
     }
 }
 
-std::shared_ptr<const FleetConfig> ConfigFollower::current() const
+std::shared_ptr<const FleetConfig> ConfigSync::current() const
 {
     return current_;
 }
 
-std::uint64_t ConfigFollower::version() const
+std::uint64_t ConfigSync::version() const
 {
     return current_ ? current_->version : 0;
 }
 
-Freshness &ConfigFollower::freshness()
+Freshness &ConfigSync::freshness()
 {
     return watch_->freshness();
 }
 
-void ConfigFollower::requestLook()
+void ConfigSync::requestPoll()
 {
-    watch_->requestLook();
+    watch_->requestPoll();
 }
 
-bool ConfigFollower::storeAnswers() const
+bool ConfigSync::isStoreReachable() const
 {
     return watch_->isHealthy();
 }
--- a/src/sidecar/ConfigFollower.h
+++ b/src/sidecar/ConfigFollower.h
@@ -18,34 +18,34 @@
  * Keeps the newest configuration: watches the store, or follows nodes that do, and takes what other nodes learned. A
  * version is never replaced by a lower one, whichever way it comes. Not thread safe.
  */
-class ConfigFollower
+class ConfigSync
 {
 public:
     using ChangeHook = std::function<void(const FleetConfig &)>;
 
     /** @pre "region-watch" is in the kernel before start(). */
-    explicit ConfigFollower(NodeCore &core);
-    ~ConfigFollower();
-    ConfigFollower(const ConfigFollower &) = delete;
-    ConfigFollower &operator=(const ConfigFollower &) = delete;
+    explicit ConfigSync(NodeCore &core);
+    ~ConfigSync();
+    ConfigSync(const ConfigSync &) = delete;
+    ConfigSync &operator=(const ConfigSync &) = delete;
     /** Starts the watch. */
     void start();
     /** Called after each change; register before start(). */
     void onChange(ChangeHook hook);
     /** Takes the document if its version is higher. @p source says in the log where it came from. */
-    void take(const std::string &document, const std::string &source);
+    void applyDocument(const std::string &document, const std::string &source);
     /** Null as long as none is known. */
     std::shared_ptr<const FleetConfig> current() const;
     std::uint64_t version() const;
     /** What is known of the age of the version in force; other nodes that hold the same may confirm it. */
     Freshness &freshness();
     /** A newer version is known to exist: asks the store at once instead of waiting to be told. */
-    void requestLook();
+    void requestPoll();
     /** True while the store answers. */
-    bool storeAnswers() const;
+    bool isStoreReachable() const;
 
 private:
-    void takeAll(const ObjectChanges &changes);
+    void handleChanges(const ObjectChanges &changes);
 
     NodeCore &core_;
     std::shared_ptr<const FleetConfig> current_;
--- a/src/sidecar/FenceService.h
+++ b/src/sidecar/FenceService.h
@@ -11,11 +11,11 @@
 namespace waxwing {
 
 struct NodeCore;
-class WaitPoint;
+class FiberNotifier;
 
 /** A Work of this node at another one. */
 struct SentWork {
-    RosterEntry home;
+    RegistryEntry home;
     /** The incarnation that it was sent to. */
     NodeRef target;
     std::uint64_t id = 0;
@@ -23,7 +23,7 @@
 };
 
 /** The link by which the home of a Work, or a node that passes questions on to it, answered last. */
-struct FenceWay {
+struct FencePath {
     std::optional<LinkId> link;
 };
 
@@ -36,38 +36,38 @@
 {
 public:
     /** Runs a Fence whose target is this node. */
-    using LocalFence = std::function<FenceReply(const Fence &)>;
+    using FenceHandler = std::function<FenceReply(const Fence &)>;
 
-    FenceService(NodeCore &core, LocalFence local);
+    FenceService(NodeCore &core, FenceHandler fenceLocally);
 
     /**
-     * Asks by @p way, or in every way if it is empty or does not answer, and unless @p onlyAsk forbids the Work to
+     * Asks by @p path, or in every way if it is empty or does not answer, and unless @p queryOnly forbids the Work to
      * begin. NotKnown if no way answered in @p allowed. An answer that is ready is fetched within @p left.
      * @pre called from a fiber.
      */
-    FenceReply ask(const SentWork &work, FenceWay &way, bool onlyAsk, Duration allowed, Duration left);
+    FenceReply query(const SentWork &work, FencePath &path, bool queryOnly, Duration allowed, Duration left);
     /** Asks on the link that is there. @pre called from a fiber. */
-    FenceReply askOn(LinkId link, const SentWork &work, bool onlyAsk, Duration allowed);
+    FenceReply queryOver(LinkId link, const SentWork &work, bool queryOnly, Duration allowed);
     /** Answers a Fence from another node, or passes it on to its target. */
     void handle(LinkId link, const NodeRef &from, const Fence &fence);
     void handleReply(const FenceReply &reply);
 
 private:
     struct Pending {
-        std::shared_ptr<WaitPoint> point;
+        std::shared_ptr<FiberNotifier> notifier;
         bool answered = false;
         FenceReply reply;
     };
 
-    Fence fenceFor(const SentWork &work, bool onlyAsk, bool fetch) const;
+    Fence makeFence(const SentWork &work, bool queryOnly, bool fetch) const;
     FenceReply exchange(LinkId link, Fence fence, Duration allowed);
-    FenceReply askEveryWay(const SentWork &work, FenceWay &way, bool onlyAsk, Duration allowed);
+    FenceReply queryAllPaths(const SentWork &work, FencePath &path, bool queryOnly, Duration allowed);
     FenceReply fetch(LinkId link, const SentWork &work, Duration left);
-    void passOn(LinkId back, const Fence &fence);
-    std::vector<RosterEntry> relaysFor(const RosterEntry &home);
+    void forwardFence(LinkId back, const Fence &fence);
+    std::vector<RegistryEntry> chooseRelays(const RegistryEntry &home);
 
     NodeCore &core_;
-    LocalFence local_;
+    FenceHandler fenceLocally_;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_;
     std::uint64_t nextId_ = 1;
 };
--- a/src/sidecar/Forwarder.cpp
+++ b/src/sidecar/Forwarder.cpp
@@ -21,22 +21,22 @@
 constexpr double workSmoothing = 0.1;
 constexpr double bytesPerKilobyte = 1024.0;
 /** Before any work of a route was seen it is planned with this part of its objective. */
-constexpr double assumedWorkPart = 0.3;
+constexpr double assumedWorkFraction = 0.3;
 /** An idempotent request that takes this many times the usual work time is tried elsewhere beside. */
-constexpr double hedgeFactor = 3.0;
-constexpr Millis leastHedge{120};
+constexpr double hedgeDelayFactor = 3.0;
+constexpr Millis minHedgeDelay{120};
 /** Part of the objective that must be left for a second try to be of use. */
-constexpr double hedgeLatest = 0.75;
+constexpr double maxHedgeFraction = 0.75;
 /** Only news as young as a round trip between regions is reason enough to refuse without asking. */
-constexpr Millis freshNews{100};
-constexpr Millis leastRetryAfter{300};
-constexpr Millis leastTime{5};
+constexpr Millis maxFreshLoadAge{100};
+constexpr Millis minRetryAfter{300};
+constexpr Millis minTimeLeft{5};
 /** A stopping node begins nothing that would likely run beyond its end: so many times the usual work, within bounds. */
 constexpr double stopWorkFactor = 2.0;
-constexpr Millis leastStopTime{500};
-constexpr Millis longestStopTime{3000};
+constexpr Millis minStopReserve{500};
+constexpr Millis maxStopReserve{3000};
 /** A round trip between regions, and some time for a busy home. */
-constexpr Millis certaintyWait{120};
+constexpr Millis cancelReplyTimeout{120};
 
 Millis toMillis(Duration value)
 {
@@ -45,57 +45,57 @@
 
 /** Rank of work that other work waits for; callers' work follows in the order of its routes' ranks. */
 constexpr int innerCallRank = 0;
-constexpr int firstCallerRank = 1;
+constexpr int callerRankOffset = 1;
 
 } // namespace
 
 struct Forwarder::Run {
     explicit Run(std::shared_ptr<const ForwardJob> jobIn)
-        : held(std::move(jobIn))
-        , job(*held)
+        : jobPtr(std::move(jobIn))
+        , job(*jobPtr)
         , objective(job.arrived + job.route->responseTime)
     { }
 
-    std::shared_ptr<const ForwardJob> held;
+    std::shared_ptr<const ForwardJob> jobPtr;
     const ForwardJob &job;
     /** Answered by then it counts in full. */
     SteadyTime objective;
     /** Made by the server beside this node for a work that it runs. */
-    bool innerCall = false;
+    bool nestedCall = false;
     /** Of the request, and of a server's call that of the work which waits for it. */
-    int worthRank = firstCallerRank;
-    WaitPoint point;
-    std::vector<PlacementPtr> placements;
+    int budgetRank = callerRankOffset;
+    FiberNotifier notifier;
+    std::vector<AttemptPtr> attempts;
     HomeSearch search;
     /** Homes whose server had it, or may have. */
-    std::set<std::string> reached;
+    std::set<std::string> reachedHomes;
     /** A home was asked in vain what became of the request, and it was not tried elsewhere since. */
-    bool mayRepeatLost = false;
+    bool hasLostAttempt = false;
     /** A repeat was allowed and found no home that takes it. */
     bool noOtherHome = false;
     /** The node stops: it is not sent any more, and what waits for a server is taken back. */
-    bool withdrawn = false;
-    bool over = false;
+    bool queuedCancelled = false;
+    bool finished = false;
 };
 
-Forwarder::Forwarder(NodeCore &core, LocalHome &home, WorkSender &sender, SecondSendService &secondSends,
-                     PathWatch &paths)
+Forwarder::Forwarder(NodeCore &core, LocalHome &home, WorkSender &sender, RetryBudgetService &retryBudgets,
+                     PathMonitor &paths)
     : core_(core)
     , home_(home)
     , sender_(sender)
-    , secondSends_(secondSends)
+    , retryBudgets_(retryBudgets)
     , paths_(paths)
     , ranking_([&core] { return core.random(); })
 {
-    paths_.setHooks(PathWatch::Hooks{[this](const std::string &node) { ranking_.notePathFailure(node); },
-                                     [this](const std::string &node) { ranking_.notePathGood(node); }});
+    paths_.setHooks(PathMonitor::Hooks{[this](const std::string &node) { ranking_.notePathFailure(node); },
+                                       [this](const std::string &node) { ranking_.notePathRecovered(node); }});
 }
 
 std::vector<RankedHome> Forwarder::homesOf(const std::string &service) const
 {
     std::vector<RankedHome> homes;
     bool listed = false;
-    for (const RosterEntryPtr &entry : core_.service<RosterKeeper>("roster").roster().homesOf(service)) {
+    for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().homesOf(service)) {
         Distance distance = Distance::OtherRegion;
         if (entry->id == core_.self.id) {
             distance = Distance::SameNode;
@@ -114,44 +114,44 @@
     return homes;
 }
 
-Duration Forwarder::typicalWork(const Route &route) const
+Duration Forwarder::expectedWorkTime(const Route &route) const
 {
     const auto found = stats_.find(route.name);
-    const double seconds = found != stats_.end() && found->second.work > 0.0
-                               ? found->second.work
-                               : assumedWorkPart * std::chrono::duration<double>(route.responseTime).count();
+    const double seconds = found != stats_.end() && found->second.workSeconds > 0.0
+                               ? found->second.workSeconds
+                               : assumedWorkFraction * std::chrono::duration<double>(route.responseTime).count();
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-int Forwarder::urgencyOf(const Run &run)
+int Forwarder::priorityOf(const Run &run)
 {
-    return run.innerCall ? innerCallRank : firstCallerRank + run.job.route->priority;
+    return run.nestedCall ? innerCallRank : callerRankOffset + run.job.route->priority;
 }
 
-HomeNeed Forwarder::needOf(const Run &run) const
+HomeQuery Forwarder::homeQueryOf(const Run &run) const
 {
     const SteadyTime now = core_.clock.now();
-    const Duration work = typicalWork(*run.job.route);
+    const Duration workTime = expectedWorkTime(*run.job.route);
     const auto stats = stats_.find(run.job.route->name);
-    HomeNeed need;
-    need.repeatable = canRepeat(run);
-    need.priority = urgencyOf(run);
+    HomeQuery need;
+    need.retryable = canRetry(run);
+    need.priority = priorityOf(run);
     need.untilObjective = toMillis(run.objective - now);
     need.untilDeadline = toMillis(run.job.deadline - now);
-    need.work = toMillis(work);
-    need.settles = run.search.settles();
-    need.answerKilobytes = stats == stats_.end() ? 0.0 : stats->second.kilobytes;
+    need.workTime = toMillis(workTime);
+    need.mustQueue = run.search.mustQueue();
+    need.responseKilobytes = stats == stats_.end() ? 0.0 : stats->second.kilobytes;
     return need;
 }
 
 SteadyTime Forwarder::hedgeTime(const Run &run) const
 {
-    const auto usual = std::chrono::duration_cast<Duration>(typicalWork(*run.job.route) * hedgeFactor);
-    const auto latest = std::chrono::duration_cast<Duration>(run.job.route->responseTime * hedgeLatest);
-    return run.job.arrived + std::max<Duration>(leastHedge, std::min(usual, latest));
+    const auto usual = std::chrono::duration_cast<Duration>(expectedWorkTime(*run.job.route) * hedgeDelayFactor);
+    const auto latest = std::chrono::duration_cast<Duration>(run.job.route->responseTime * maxHedgeFraction);
+    return run.job.arrived + std::max<Duration>(minHedgeDelay, std::min(usual, latest));
 }
 
-CallRates Forwarder::repeatsOf(const Run &run) const
+CallRates Forwarder::retryCostOf(const Run &run) const
 {
     CallRates repeats;
     const auto found = stats_.find(run.job.route->name);
@@ -162,102 +162,102 @@
     return repeats;
 }
 
-SecondSend Forwarder::purposeOf(const Run &run) const
+RetryReason Forwarder::retryReasonOf(const Run &run) const
 {
-    return secondSends_.purposeOf(run.job.service, run.worthRank);
+    return retryBudgets_.reasonFor(run.job.service, run.budgetRank);
 }
 
-bool Forwarder::canRepeat(const Run &run) const
+bool Forwarder::canRetry(const Run &run) const
 {
     const Route &route = *run.job.route;
-    const bool room = static_cast<int>(run.reached.size()) + 1 < route.mostServers;
-    return route.idempotent && room && secondSends_.mayHave(repeatsOf(run), purposeOf(run));
+    const bool room = static_cast<int>(run.reachedHomes.size()) + 1 < route.maxAttempts;
+    return route.idempotent && room && retryBudgets_.canAfford(retryCostOf(run), retryReasonOf(run));
 }
 
-bool Forwarder::maySendAgain(Run &run, SecondSend purpose, const char *why)
+bool Forwarder::reserveRetry(Run &run, RetryReason purpose, const char *why)
 {
     const Route &route = *run.job.route;
-    const bool room = static_cast<int>(run.reached.size()) < route.mostServers;
+    const bool room = static_cast<int>(run.reachedHomes.size()) < route.maxAttempts;
     const auto wanted = [&] {
-        const bool time = core_.clock.now() + leastTime < std::min(run.job.deadline, latestStart(run));
-        return time && !run.over && !run.job.control->cancelled;
+        const bool time = core_.clock.now() + minTimeLeft < std::min(run.job.deadline, latestStart(run));
+        return time && !run.finished && !run.job.control->cancelled;
     };
-    const CallRates repeats = repeatsOf(run);
-    const bool budget = room && wanted() && secondSends_.spend(repeats, purpose);
+    const CallRates repeats = retryCostOf(run);
+    const bool budget = room && wanted() && retryBudgets_.spend(repeats, purpose);
     // Borrowing takes some round trips. A caller that left meanwhile must not have its request sent to a server.
     const bool may = budget && wanted();
     if (budget && !may) {
-        secondSends_.giveBack(repeats);
+        retryBudgets_.giveBack(repeats);
     }
-    if (!budget && room && wanted() && purpose != SecondSend::Hedge) {
-        secondSends_.noteDenied(run.job.service, run.worthRank);
+    if (!budget && room && wanted() && purpose != RetryReason::Hedge) {
+        retryBudgets_.noteDenied(run.job.service, run.budgetRank);
     }
     core_.events.writeRequest(
         may ? Severity::Info : Severity::Warning, "second_send",
         {{"request", run.job.requestId},
          {"service", run.job.service},
          {"why", why},
-         {"servers", std::to_string(run.reached.size())},
+         {"servers", std::to_string(run.reachedHomes.size())},
          {"allowed", may ? "yes" : (!room ? "no-servers-used" : (!wanted() ? "no-time" : "no-budget"))}});
     core_.metrics.count(may ? "second_sends" : "second_sends_refused");
     return may;
 }
 
-void Forwarder::launch(const RunPtr &run, Try reason)
+void Forwarder::startAttempt(const RunPtr &run, AttemptKind reason)
 {
-    auto placement = std::make_shared<Placement>();
-    placement->control = std::make_shared<RunControl>();
-    placement->control->onFateUnknown = [run = run.get(), placement = placement.get()] {
-        placement->fateUnknown = true;
-        run->mayRepeatLost = true;
-        run->point.wake();
+    auto attempt = std::make_shared<Attempt>();
+    attempt->control = std::make_shared<RunControl>();
+    attempt->control->onOutcomeUnknown = [run = run.get(), attempt = attempt.get()] {
+        attempt->outcomeUnknown = true;
+        run->hasLostAttempt = true;
+        run->notifier.notify();
     };
-    run->placements.push_back(placement);
-    spawnFiber([this, run, placement, reason] {
-        place(run, placement, reason);
-        placement->ended = true;
-        placement->control->onFateUnknown = {};
-        if (reason != Try::First && !placement->reachedServer) {
-            secondSends_.giveBack(repeatsOf(*run));
+    run->attempts.push_back(attempt);
+    spawnFiber([this, run, attempt, reason] {
+        runAttempt(run, attempt, reason);
+        attempt->ended = true;
+        attempt->control->onOutcomeUnknown = {};
+        if (reason != AttemptKind::First && !attempt->reachedServer) {
+            retryBudgets_.giveBack(retryCostOf(*run));
             // Asking the same homes once more would find none again.
-            run->noOtherHome = run->noOtherHome || reason == Try::Again;
+            run->noOtherHome = run->noOtherHome || reason == AttemptKind::Retry;
         }
-        run->point.wake();
+        run->notifier.notify();
     });
 }
 
-void Forwarder::place(const RunPtr &run, const PlacementPtr &placement, Try reason)
+void Forwarder::runAttempt(const RunPtr &run, const AttemptPtr &attempt, AttemptKind reason)
 {
     const ForwardJob &job = run->job;
-    placement->reply.outcome = Outcome::NotRun;
-    placement->reply.reason = "no-sound-home";
-    while (!placement->control->cancelled && !run->over && run->search.mayGoOn()) {
+    attempt->reply.outcome = Outcome::NotRun;
+    attempt->reply.reason = "no-sound-home";
+    while (!attempt->control->cancelled && !run->finished && run->search.canContinue()) {
         const SteadyTime now = core_.clock.now();
-        if (run->withdrawn || now >= latestStart(*run)) {
-            placement->reply.reason = "stopping";
+        if (run->queuedCancelled || now >= latestStart(*run)) {
+            attempt->reply.reason = "stopping";
             return;
         }
-        HomeChoice choice = ranking_.choose(homesOf(job.service), run->search.excluded(), needOf(*run), now);
-        if (choice.node.empty() || now + leastTime >= job.deadline) {
+        HomeChoice choice = ranking_.choose(homesOf(job.service), run->search.excluded(), homeQueryOf(*run), now);
+        if (choice.node.empty() || now + minTimeLeft >= job.deadline) {
             return;
         }
-        const bool heardNow = choice.loadAge >= Millis(0) && choice.loadAge <= freshNews;
-        if (choice.hopeless && heardNow) {
+        const bool loadIsFresh = choice.loadAge >= Millis(0) && choice.loadAge <= maxFreshLoadAge;
+        if (choice.missesDeadline && loadIsFresh) {
             // Every home would keep it beyond its deadline. The caller is better off to hear that at once.
-            placement->reply.reason = "no-room";
-            placement->reply.load.wait = choice.wait;
+            attempt->reply.reason = "no-room";
+            attempt->reply.load.wait = choice.wait;
             return;
         }
-        if (reason == Try::Hedge) {
-            choice.patience = Millis(0);
+        if (reason == AttemptKind::Hedge) {
+            choice.queueTimeout = Millis(0);
         }
-        if (sendOnce(run, placement, choice)) {
+        if (sendToHome(run, attempt, choice)) {
             return;
         }
     }
 }
 
-bool Forwarder::sendOnce(const RunPtr &run, const PlacementPtr &placement, const HomeChoice &choice)
+bool Forwarder::sendToHome(const RunPtr &run, const AttemptPtr &attempt, const HomeChoice &choice)
 {
     const ForwardJob &job = run->job;
     const SteadyTime now = core_.clock.now();
@@ -266,27 +266,27 @@
     work.service = job.service;
     work.route = job.route->name;
     work.idempotent = job.route->idempotent;
-    work.repeatable = canRepeat(*run);
-    work.acceptsDoubt = choice.acceptsDoubt;
-    work.priority = static_cast<std::uint8_t>(urgencyOf(*run));
+    work.retryable = canRetry(*run);
+    work.acceptsGray = choice.acceptsGray;
+    work.priority = static_cast<std::uint8_t>(priorityOf(*run));
     work.remaining = toMillis(job.deadline - now);
     work.untilObjective = toMillis(run->objective - now);
-    work.patience = choice.patience;
-    work.versions = core_.service<NewsService>("news").versions();
+    work.queueTimeout = choice.queueTimeout;
+    work.versions = core_.service<StateUpdateService>("state-updates").versions();
     work.request = job.request;
-    placement->home = choice.node;
+    attempt->home = choice.node;
     ranking_.noteSent(choice.node);
     // Counted from now on: a second placement beside this one must not use the same server.
-    run->reached.insert(choice.node);
+    run->reachedHomes.insert(choice.node);
     run->search.noteSent(choice.node);
     SendResult result;
     if (choice.node == core_.self.id) {
-        result.reply = home_.run(WorkKey{core_.self, nextLocalWork_++}, work, placement->control);
+        result.reply = home_.run(WorkKey{core_.self, nextLocalWork_++}, work, attempt->control);
     } else {
-        const RosterEntryPtr entry = core_.service<RosterKeeper>("roster").roster().find(choice.node);
+        const RegistryEntryPtr entry = core_.service<RegistrySync>("registry").registry().find(choice.node);
         if (entry != nullptr) {
             result = sender_.run(*entry, entry->region != core_.settings.region, std::move(work), job.deadline,
-                                 placement->control);
+                                 attempt->control);
         } else {
             result.reply.outcome = Outcome::NotRun;
             result.reply.reason = "left-the-roster";
@@ -298,54 +298,54 @@
     if (result.pathFailed) {
         paths_.noteFailure(choice.node);
     } else if (reply.outcome != Outcome::Unknown || reply.reachedServer) {
-        ranking_.notePathGood(choice.node);
-        ranking_.noteLoad(choice.node, reply.load, urgencyOf(*run), after);
+        ranking_.notePathRecovered(choice.node);
+        ranking_.noteLoad(choice.node, reply.load, priorityOf(*run), after);
     }
-    const bool noServer = reply.reason == refusalName(RefusalReason::NoServer) || reply.reason == "stopping"
+    const bool noServer = reply.reason == refusalReasonName(RefusalReason::NoServer) || reply.reason == "stopping"
                           || reply.reason == "other-service" || reply.reason == "other-server";
     if (noServer) {
         ranking_.noteNoServer(choice.node, after);
     }
-    const bool doubtful = reply.reason == refusalName(RefusalReason::Doubtful);
+    const bool doubtful = reply.reason == refusalReasonName(RefusalReason::LikelyGray);
     if (doubtful) {
-        ranking_.noteDoubtful(RankedHome{choice.node, choice.distance}, after);
+        ranking_.noteLikelyGray(RankedHome{choice.node, choice.distance}, after);
     }
-    learn(job.route->name, reply);
+    updateStats(job.route->name, reply);
     core_.events.writeRequest(result.pathFailed ? Severity::Warning : Severity::Info, "sent",
                               {{"request", job.requestId},
                                {"home", choice.node},
                                {"loss", std::to_string(static_cast<int>(choice.loss))},
                                {"loadAgeMs", std::to_string(choice.loadAge.count())},
-                               {"patienceMs", std::to_string(choice.patience.count())},
+                               {"patienceMs", std::to_string(choice.queueTimeout.count())},
                                {"expectedWaitMs", std::to_string(choice.wait.count())},
                                {"toldWaitMs", std::to_string(reply.load.wait.count())},
-                               {"acceptsDoubt", choice.acceptsDoubt ? "yes" : "no"},
+                               {"acceptsDoubt", choice.acceptsGray ? "yes" : "no"},
                                {"outcome", outcomeName(reply.outcome)},
                                {"reason", reply.reason},
                                {"pathFailed", result.pathFailed ? "yes" : "no"},
                                {"tookMs", std::to_string(toMillis(after - now).count())}});
-    placement->reply = reply;
-    placement->reachedServer = placement->reachedServer || reply.reachedServer || reply.outcome == Outcome::Unknown;
+    attempt->reply = reply;
+    attempt->reachedServer = attempt->reachedServer || reply.reachedServer || reply.outcome == Outcome::Unknown;
     const bool refused = reply.outcome == Outcome::NotRun && !reply.reachedServer;
     if (refused) {
         // A refusal is news about the home; with it the same one may still be the best.
-        run->reached.erase(choice.node);
+        run->reachedHomes.erase(choice.node);
         // A fenced Work never runs, and the fresh link that brought the word may carry the next one.
         const bool reachable = !result.pathFailed || reply.reason == fencedReason;
         if (reachable && !noServer && !doubtful) {
             run->search.noteRefused(choice.node);
         }
-        return placement->control->cancelled || reply.reason == endsServersReason;
+        return attempt->control->cancelled || reply.reason == poisonReason;
     }
-    if (reply.outcome == Outcome::NotRun && !placement->control->cancelled) {
+    if (reply.outcome == Outcome::NotRun && !attempt->control->cancelled) {
         // It was an arrival at a server, though it did not run: another one is a second send.
-        run->reached.erase(choice.node);
-        return !maySendAgain(*run, purposeOf(*run), "server-refused");
+        run->reachedHomes.erase(choice.node);
+        return !reserveRetry(*run, retryReasonOf(*run), "server-refused");
     }
     return true;
 }
 
-void Forwarder::learn(const std::string &route, const WorkReply &reply)
+void Forwarder::updateStats(const std::string &route, const WorkReply &reply)
 {
     const bool ran = reply.outcome == Outcome::Ran && !reply.serverFault;
     if (ran) {
@@ -353,68 +353,68 @@
         const auto smooth = [](double &mean, double sample) {
             mean = mean == 0.0 ? sample : mean + workSmoothing * (sample - mean);
         };
-        smooth(stats.work, std::chrono::duration<double>(reply.worked).count());
+        smooth(stats.workSeconds, std::chrono::duration<double>(reply.processingTime).count());
         smooth(stats.kilobytes, static_cast<double>(reply.response.body.size()) / bytesPerKilobyte);
     }
     if (reply.reachedServer) {
         stats_[route].calls = reply.calls;
     }
-    if (reply.innerCall) {
-        home_.noteToldInnerCall(route);
+    if (reply.nestedCall) {
+        home_.noteNestedCall(route);
     }
 }
 
 ForwardResult Forwarder::finish(const RunPtr &run, const WorkReply &reply)
 {
-    run->over = true;
-    for (const PlacementPtr &placement : run->placements) {
-        if (!placement->ended) {
-            placement->control->cancel();
+    run->finished = true;
+    for (const AttemptPtr &attempt : run->attempts) {
+        if (!attempt->ended) {
+            attempt->control->cancel();
         }
     }
     ForwardResult result;
     const bool failed = reply.outcome != Outcome::Ran || reply.serverFault;
-    if (run->innerCall && failed) {
+    if (run->nestedCall && failed) {
         home_.noteFailedCall(run->job.route->name, run->job.service);
     }
     result.outcome = reply.outcome;
     result.reason = reply.reason;
     result.response = reply.response;
-    if (reply.outcome == Outcome::NotRun && reply.reason != endsServersReason) {
-        result.retryAfter = std::max(leastRetryAfter, reply.load.wait);
+    if (reply.outcome == Outcome::NotRun && reply.reason != poisonReason) {
+        result.retryAfter = std::max(minRetryAfter, reply.load.wait);
     }
     return result;
 }
 
-ForwardResult Forwarder::timedOut(const RunPtr &run, bool atOnce)
+ForwardResult Forwarder::finishTimedOut(const RunPtr &run, bool atOnce)
 {
-    for (const PlacementPtr &placement : run->placements) {
-        placement->control->cancel();
+    for (const AttemptPtr &attempt : run->attempts) {
+        attempt->control->cancel();
     }
-    run->over = true;
+    run->finished = true;
     const auto allEnded = [&] {
-        return std::all_of(run->placements.begin(), run->placements.end(),
-                           [](const PlacementPtr &one) { return one->ended; });
+        return std::all_of(run->attempts.begin(), run->attempts.end(),
+                           [](const AttemptPtr &one) { return one->ended; });
     };
     // What only waited in a queue has not run, and its home says so within a round trip. That is worth as much to the
     // caller as an answer: it may come again.
-    const SteadyTime until = core_.clock.now() + certaintyWait;
+    const SteadyTime until = core_.clock.now() + cancelReplyTimeout;
     while (!atOnce && !allEnded() && core_.clock.now() < until) {
-        run->point.wait(core_.ioContext, until - core_.clock.now());
+        run->notifier.wait(core_.ioContext, until - core_.clock.now());
     }
     WorkReply reply;
     const bool notRun = allEnded()
-                        && std::all_of(run->placements.begin(), run->placements.end(),
-                                       [](const PlacementPtr &one) { return one->reply.outcome == Outcome::NotRun; });
+                        && std::all_of(run->attempts.begin(), run->attempts.end(),
+                                       [](const AttemptPtr &one) { return one->reply.outcome == Outcome::NotRun; });
     reply.outcome = notRun ? Outcome::NotRun : Outcome::Unknown;
     reply.reason = "timeout";
     return finish(run, reply);
 }
 
-ForwardResult Forwarder::run(const std::shared_ptr<const ForwardJob> &held)
+ForwardResult Forwarder::run(const std::shared_ptr<const ForwardJob> &jobPtr)
 {
-    const ForwardJob &job = *held;
-    const auto run = std::make_shared<Run>(held);
+    const ForwardJob &job = *jobPtr;
+    const auto run = std::make_shared<Run>(jobPtr);
     active_.insert(run);
     struct Active {
         std::set<RunPtr> &runs;
@@ -425,130 +425,130 @@
         }
     } const active{active_, run};
     home_.noteArrival(job.route->name, job.service);
-    run->innerCall = home_.isInnerCall(job.route->name);
-    run->worthRank = firstCallerRank + job.route->priority;
-    if (run->innerCall) {
-        run->worthRank = home_.rankOfCaller(job.service).value_or(innerCallRank);
+    run->nestedCall = home_.isNestedCall(job.route->name);
+    run->budgetRank = callerRankOffset + job.route->priority;
+    if (run->nestedCall) {
+        run->budgetRank = home_.callerRank(job.service).value_or(innerCallRank);
     }
-    secondSends_.noteRequest(job.service);
-    if (run->innerCall) {
+    retryBudgets_.noteRequest(job.service);
+    if (run->nestedCall) {
         // Late it still lets its parent be in time; not answered at all it fails the parent.
         run->objective = job.deadline;
     }
-    job.control->interrupt = [run] { run->point.wake(); };
-    launch(run, Try::First);
-    const bool repeatable = job.route->idempotent && job.route->mostServers > 1;
+    job.control->interrupt = [run] { run->notifier.notify(); };
+    startAttempt(run, AttemptKind::First);
+    const bool retryable = job.route->idempotent && job.route->maxAttempts > 1;
     bool hedged = false;
     std::size_t judged = 0;
     WorkReply last;
     bool hasLast = false;
     while (true) {
         const SteadyTime now = core_.clock.now();
-        const SteadyTime hedgeAt = repeatable && !hedged ? hedgeTime(*run) : SteadyTime::max();
+        const SteadyTime hedgeAt = retryable && !hedged ? hedgeTime(*run) : SteadyTime::max();
         const std::size_t ended = static_cast<std::size_t>(std::count_if(
-            run->placements.begin(), run->placements.end(), [](const PlacementPtr &one) { return one->ended; }));
-        const SteadyTime withdrawAt = run->withdrawn ? SteadyTime::max() : latestStart(*run);
-        if (now >= withdrawAt) {
-            withdraw(*run);
+            run->attempts.begin(), run->attempts.end(), [](const AttemptPtr &one) { return one->ended; }));
+        const SteadyTime cancelQueuedAt = run->queuedCancelled ? SteadyTime::max() : latestStart(*run);
+        if (now >= cancelQueuedAt) {
+            cancelQueued(*run);
             continue;
         }
-        if (job.control->cancelled || ending_ || now >= job.deadline) {
+        if (job.control->cancelled || aborting_ || now >= job.deadline) {
             job.control->interrupt = {};
-            return timedOut(run, job.control->cancelled || ending_);
+            return finishTimedOut(run, job.control->cancelled || aborting_);
         }
         if (ended > judged) {
-            for (const PlacementPtr &placement : run->placements) {
+            for (const AttemptPtr &attempt : run->attempts) {
                 const bool good =
-                    placement->ended && placement->reply.outcome == Outcome::Ran && !placement->reply.serverFault;
+                    attempt->ended && attempt->reply.outcome == Outcome::Ran && !attempt->reply.serverFault;
                 if (good) {
                     job.control->interrupt = {};
-                    return finish(run, placement->reply);
+                    return finish(run, attempt->reply);
                 }
             }
             judged = ended;
-            for (const PlacementPtr &placement : run->placements) {
+            for (const AttemptPtr &attempt : run->attempts) {
                 const bool better =
-                    placement->ended
-                    && (!hasLast || placement->reply.outcome == Outcome::Ran || last.outcome == Outcome::NotRun);
+                    attempt->ended
+                    && (!hasLast || attempt->reply.outcome == Outcome::Ran || last.outcome == Outcome::NotRun);
                 if (better) {
-                    last = placement->reply;
+                    last = attempt->reply;
                     hasLast = true;
                 }
             }
-            if (ended == run->placements.size()) {
+            if (ended == run->attempts.size()) {
                 const bool failed = last.outcome != Outcome::NotRun && !run->noOtherHome;
-                const bool again = failed && repeatable && maySendAgain(*run, purposeOf(*run), "failed");
+                const bool again = failed && retryable && reserveRetry(*run, retryReasonOf(*run), "failed");
                 if (!again) {
                     job.control->interrupt = {};
                     return finish(run, last);
                 }
                 hedged = true;
-                launch(run, Try::Again);
+                startAttempt(run, AttemptKind::Retry);
             }
             continue;
         }
-        if (run->mayRepeatLost) {
-            run->mayRepeatLost = false;
-            const bool allLost = std::all_of(run->placements.begin(), run->placements.end(),
-                                             [](const PlacementPtr &one) { return one->ended || one->fateUnknown; });
-            const bool again = repeatable && allLost && !run->noOtherHome;
-            if (again && maySendAgain(*run, purposeOf(*run), "fate-unknown")) {
+        if (run->hasLostAttempt) {
+            run->hasLostAttempt = false;
+            const bool allLost = std::all_of(run->attempts.begin(), run->attempts.end(),
+                                             [](const AttemptPtr &one) { return one->ended || one->outcomeUnknown; });
+            const bool again = retryable && allLost && !run->noOtherHome;
+            if (again && reserveRetry(*run, retryReasonOf(*run), "fate-unknown")) {
                 hedged = true;
-                launch(run, Try::Again);
+                startAttempt(run, AttemptKind::Retry);
             }
             continue;
         }
         if (now >= hedgeAt) {
             hedged = true;
-            if (maySendAgain(*run, SecondSend::Hedge, "slow")) {
-                launch(run, Try::Hedge);
+            if (reserveRetry(*run, RetryReason::Hedge, "slow")) {
+                startAttempt(run, AttemptKind::Hedge);
             }
             continue;
         }
-        run->point.wait(core_.ioContext, std::min({job.deadline, hedgeAt, withdrawAt}) - now);
+        run->notifier.wait(core_.ioContext, std::min({job.deadline, hedgeAt, cancelQueuedAt}) - now);
     }
 }
 
-void Forwarder::rosterChanged()
+void Forwarder::registryChanged()
 {
     std::set<std::string> known = {core_.self.id};
-    for (const RosterEntryPtr &entry : core_.service<RosterKeeper>("roster").roster().all()) {
+    for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
         known.insert(entry->id);
     }
     ranking_.keepOnly(known);
 }
 
-void Forwarder::stopBy(SteadyTime until)
+void Forwarder::setStopDeadline(SteadyTime until)
 {
-    stopBy_ = until;
+    stopDeadline_ = until;
     for (const RunPtr &run : active_) {
-        run->point.wake();
+        run->notifier.notify();
     }
 }
 
-void Forwarder::endAll()
+void Forwarder::abortAll()
 {
-    ending_ = true;
+    aborting_ = true;
     for (const RunPtr &run : active_) {
-        run->point.wake();
+        run->notifier.notify();
     }
 }
 
 SteadyTime Forwarder::latestStart(const Run &run) const
 {
-    if (stopBy_ == SteadyTime::max()) {
-        return stopBy_;
+    if (stopDeadline_ == SteadyTime::max()) {
+        return stopDeadline_;
     }
-    const auto work = std::chrono::duration_cast<Duration>(typicalWork(*run.job.route) * stopWorkFactor);
-    return stopBy_ - std::clamp<Duration>(work, leastStopTime, longestStopTime);
+    const auto work = std::chrono::duration_cast<Duration>(expectedWorkTime(*run.job.route) * stopWorkFactor);
+    return stopDeadline_ - std::clamp<Duration>(work, minStopReserve, maxStopReserve);
 }
 
-void Forwarder::withdraw(Run &run)
+void Forwarder::cancelQueued(Run &run)
 {
-    run.withdrawn = true;
-    for (const PlacementPtr &placement : run.placements) {
-        if (!placement->ended) {
-            placement->control->withdraw();
+    run.queuedCancelled = true;
+    for (const AttemptPtr &attempt : run.attempts) {
+        if (!attempt->ended) {
+            attempt->control->cancelQueued();
         }
     }
 }
--- a/src/sidecar/LocalHome.cpp
+++ b/src/sidecar/LocalHome.cpp
@@ -15,25 +15,25 @@
 namespace {
 
 /** Also how often memory of ended works is cleared. */
-constexpr Millis idleTick{1000};
-constexpr Millis leastTick{1};
+constexpr Millis maxPollInterval{1000};
+constexpr Millis minPollInterval{1};
 /** How long the end of a Work is remembered; a sender asks within its deadline, and most are shorter. */
-constexpr Millis memory = std::chrono::seconds(12);
-constexpr std::size_t mostRemembered = 2000;
+constexpr Millis resultRetention = std::chrono::seconds(12);
+constexpr std::size_t maxRetainedResults = 2000;
 /** A question may have been under way for so long. */
-constexpr Millis longestTransit{1500};
+constexpr Millis maxFenceTransit{1500};
 /** Of answers larger than this so many bytes are held for senders that ask: three seconds of a 13 Mbit/s link. */
-constexpr std::size_t largeAnswer = 16UL * 1024;
-constexpr std::size_t mostLargeBytes = 5UL * 1024 * 1024;
+constexpr std::size_t largeAnswerBytes = 16UL * 1024;
+constexpr std::size_t maxLargeAnswerBytes = 5UL * 1024 * 1024;
 /** Less than this can't be used by any server. */
-constexpr Millis leastTime{5};
+constexpr Millis minTimeLeft{5};
 /** Servers close idle connections after about ten seconds, some sooner. */
-constexpr Millis mostIdle{5000};
+constexpr Millis maxIdle{5000};
 /** Work that can't be tried again goes on a connection that was in use just now, or on a new one. */
-constexpr Millis mostIdleForOther{2500};
+constexpr Millis maxIdleNonIdempotent{2500};
 /** A server that stayed silent till the deadline, which is much longer than its usual work, is likelier gray. */
-constexpr double silenceRatio = 8.0;
-constexpr int silenceFactor = 4;
+constexpr double timeoutLikelihoodRatio = 8.0;
+constexpr int timeoutWorkFactor = 4;
 
 std::string millisText(Duration value)
 {
@@ -61,9 +61,8 @@
 
 LocalHome::LocalHome(NodeCore &core)
     : core_(core)
-    , origins_([this](const std::string &zone, const std::set<std::string> &services) {
-        return shareOfZone(zone, services);
-    })
+    , origins_(
+          [this](const std::string &zone, const std::set<std::string> &services) { return zoneShare(zone, services); })
 { }
 
 void LocalHome::start()
@@ -85,12 +84,12 @@
     ServerChange change = ServerChange::None;
     std::string cause;
     if (const auto &heartbeat = (*call)->heartbeat) {
-        change = server_.take(*heartbeat, *core_.settings.server);
+        change = server_.update(*heartbeat, *core_.settings.server);
         cause = std::string("heartbeat ") + serverStateName(heartbeat->state) + " sequence "
                 + std::to_string(heartbeat->sequence) + " of " + heartbeat->server;
-    } else if (const auto &farewell = (*call)->farewell) {
-        change = server_.takeFarewell(farewell->serverId, farewell->incarnation);
-        cause = "farewell of " + farewell->serverId;
+    } else if (const auto &deregistration = (*call)->deregistration) {
+        change = server_.deregister(deregistration->serverId, deregistration->incarnation);
+        cause = "farewell of " + deregistration->serverId;
     }
     if (change == ServerChange::Ignored) {
         core_.metrics.count("heartbeats_ignored");
@@ -110,9 +109,9 @@
         dropWaiting(queue_.clearServer());
     }
     if (change != ServerChange::None) {
-        const Announcement *known = server_.known();
+        const Announcement *latest = server_.latest();
         core_.events.write(Severity::Info, change == ServerChange::Started ? "server_serves" : "server_leaves",
-                           {{"server", known == nullptr ? "" : known->server}, {"cause", cause}});
+                           {{"server", latest == nullptr ? "" : latest->server}, {"cause", cause}});
     }
     pollQueue();
 }
@@ -120,21 +119,21 @@
 void LocalHome::dropWaiting(const std::vector<std::uint64_t> &ids)
 {
     for (const std::uint64_t id : ids) {
-        const auto turn = turns_.find(id);
-        if (turn != turns_.end()) {
-            turn->second.gate->open();
+        const auto queuedJob = queuedJobs_.find(id);
+        if (queuedJob != queuedJobs_.end()) {
+            queuedJob->second.latch->release();
         }
     }
 }
 
 void LocalHome::pollQueue()
 {
-    const SlotQueue::Due due = queue_.poll(core_.clock.now());
+    const SlotQueue::PollResult due = queue_.poll(core_.clock.now());
     for (const std::uint64_t id : due.start) {
-        const auto turn = turns_.find(id);
-        if (turn != turns_.end()) {
-            turn->second.started = true;
-            turn->second.gate->open();
+        const auto queuedJob = queuedJobs_.find(id);
+        if (queuedJob != queuedJobs_.end()) {
+            queuedJob->second.started = true;
+            queuedJob->second.latch->release();
         } else {
             queue_.release(id, core_.clock.now());
         }
@@ -147,17 +146,19 @@
     while (true) {
         // Woken by the first request that waits, and then at the time when one has waited long enough.
         const SteadyTime before = core_.clock.now();
-        const SteadyTime due = queue_.nextDue(before);
-        const Duration pause =
-            due == SteadyTime::max() ? Duration(idleTick) : std::clamp<Duration>(due - before, leastTick, idleTick);
+        const SteadyTime due = queue_.nextPollTime(before);
+        const Duration pause = due == SteadyTime::max()
+                                   ? Duration(maxPollInterval)
+                                   : std::clamp<Duration>(due - before, minPollInterval, maxPollInterval);
         expiry_.wait(core_.ioContext, pause);
         const SteadyTime now = core_.clock.now();
         if (queue_.waiting() > 0) {
             pollQueue();
         }
-        while (!ended_.empty() && (now - ended_.front().first >= memory || ended_.size() > mostRemembered)) {
-            forgottenUntil_ = std::max(forgottenUntil_, ended_.front().first);
-            forget(ended_.front().second);
+        while (!ended_.empty()
+               && (now - ended_.front().first >= resultRetention || ended_.size() > maxRetainedResults)) {
+            evictedUntil_ = std::max(evictedUntil_, ended_.front().first);
+            evict(ended_.front().second);
             ended_.pop_front();
         }
     }
@@ -172,7 +173,7 @@
     return reply;
 }
 
-void LocalHome::remember(const WorkKey &key, const WorkReply &reply)
+void LocalHome::storeResult(const WorkKey &key, const WorkReply &reply)
 {
     Entry &entry = entries_[key];
     entry.phase = Phase::Ended;
@@ -180,16 +181,16 @@
     entry.reply = reply;
     entry.endedAt = core_.clock.now();
     ended_.emplace_back(entry.endedAt, key);
-    if (reply.response.body.size() > largeAnswer) {
+    if (reply.response.body.size() > largeAnswerBytes) {
         largeAnswers_.push_back(key);
         largeBytes_ += reply.response.body.size();
-        boundLargeAnswers();
+        evictLargeAnswers();
     }
 }
 
-void LocalHome::boundLargeAnswers()
+void LocalHome::evictLargeAnswers()
 {
-    while (largeBytes_ > mostLargeBytes) {
+    while (largeBytes_ > maxLargeAnswerBytes) {
         const auto oldest = entries_.find(largeAnswers_.front());
         largeAnswers_.pop_front();
         if (oldest == entries_.end()) {
@@ -203,54 +204,54 @@
     }
 }
 
-void LocalHome::forget(const WorkKey &key)
+void LocalHome::evict(const WorkKey &key)
 {
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
         return;
     }
-    if (found->second.reply.response.body.size() > largeAnswer) {
+    if (found->second.reply.response.body.size() > largeAnswerBytes) {
         largeBytes_ -= found->second.reply.response.body.size();
     }
     entries_.erase(found);
 }
 
-bool LocalHome::awaitTurn(Job &job, const std::function<void()> &onAdmitted)
+bool LocalHome::awaitSlot(Job &job, const std::function<void()> &onAdmitted)
 {
     SlotRequest request;
     request.id = job.id;
     request.route = job.work.route;
-    request.repeatable = job.work.repeatable;
+    request.retryable = job.work.retryable;
     request.priority = job.work.priority;
     request.objective = job.arrived + job.work.untilObjective;
     request.deadline = job.deadline;
-    request.patience = job.work.patience;
-    request.acceptsDoubt = job.work.acceptsDoubt;
+    request.queueTimeout = job.work.queueTimeout;
+    request.acceptsGray = job.work.acceptsGray;
     const SlotDecision decision = queue_.submit(request, job.arrived);
-    if (decision.verdict == SlotVerdict::Refused) {
-        job.reply = refusal(job, refusalName(decision.reason));
+    if (decision.action == SlotAction::Refuse) {
+        job.reply = refusal(job, refusalReasonName(decision.reason));
         return false;
     }
     if (onAdmitted) {
         onAdmitted();
     }
-    if (decision.verdict == SlotVerdict::Start) {
+    if (decision.action == SlotAction::Start) {
         return true;
     }
-    const auto gate = std::make_shared<FiberGate>();
-    turns_[job.id] = Turn{gate, false};
-    expiry_.wake();
-    const auto leave = [this, gate, id = job.id] {
+    const auto latch = std::make_shared<FiberLatch>();
+    queuedJobs_[job.id] = QueuedJob{latch, false};
+    expiry_.notify();
+    const auto leave = [this, latch, id = job.id] {
         queue_.cancel(id);
-        gate->open();
+        latch->release();
     };
     job.control->interrupt = leave;
-    job.control->onWithdraw = leave;
-    gate->wait();
+    job.control->onCancelQueued = leave;
+    latch->wait();
     job.control->interrupt = {};
-    job.control->onWithdraw = {};
-    const bool started = turns_[job.id].started;
-    turns_.erase(job.id);
+    job.control->onCancelQueued = {};
+    const bool started = queuedJobs_[job.id].started;
+    queuedJobs_.erase(job.id);
     if (!started || job.control->cancelled) {
         queue_.release(job.id, core_.clock.now());
         job.reply = refusal(job, job.control->cancelled ? "cancelled" : "waited-in-vain");
@@ -274,7 +275,7 @@
         return job.reply;
     }
     if (core_.service<PoisonService>("poison").mustRefuse(requestDigest(work.service, work.request))) {
-        job.reply = refusal(job, endsServersReason);
+        job.reply = refusal(job, poisonReason);
         job.reply.load = load(work.priority);
         return job.reply;
     }
@@ -284,18 +285,18 @@
     entry.idempotent = work.idempotent;
     entry.control = control;
     entries_[key] = entry;
-    if (awaitTurn(job, onAdmitted)) {
-        handOver(job);
+    if (awaitSlot(job, onAdmitted)) {
+        dispatch(job);
         queue_.release(job.id, core_.clock.now());
         pollQueue();
     }
     job.reply.id = key.id;
     job.reply.load = load(work.priority);
-    job.reply.innerCall = origins_.isInnerCall(work.route);
-    if (entries_[key].phase == Phase::Forbidden) {
+    job.reply.nestedCall = origins_.isNestedCall(work.route);
+    if (entries_[key].phase == Phase::Fenced) {
         ended_.emplace_back(core_.clock.now(), key);
     } else {
-        remember(key, job.reply);
+        storeResult(key, job.reply);
     }
     core_.events.writeRequest(job.reply.serverFault ? Severity::Warning : Severity::Info, "home_done",
                               {{"request", work.requestId},
@@ -304,19 +305,19 @@
                                {"reason", job.reply.reason},
                                {"status", std::to_string(job.reply.response.status)},
                                {"server", job.reply.server},
-                               {"workedMs", std::to_string(job.reply.worked.count())},
+                               {"workedMs", std::to_string(job.reply.processingTime.count())},
                                {"hereMs", millisText(core_.clock.now() - now)},
-                               {"doubt", std::to_string(job.reply.load.doubt)},
+                               {"doubt", std::to_string(job.reply.load.grayProbability)},
                                {"queued", std::to_string(job.reply.load.queued)}});
     return job.reply;
 }
 
-void LocalHome::handOver(Job &job)
+void LocalHome::dispatch(Job &job)
 {
     const Announcement *serving = server_.serving();
     const SteadyTime now = core_.clock.now();
     const auto left = std::chrono::duration_cast<Millis>(job.deadline - now);
-    if (serving == nullptr || left < leastTime) {
+    if (serving == nullptr || left < minTimeLeft) {
         job.reply = refusal(job, serving == nullptr ? "no-server" : "too-late");
         return;
     }
@@ -325,43 +326,46 @@
     job.reply.reachedServer = true;
     ExchangeCancel cancel;
     ExchangeOptions options;
-    options.allowed = left;
+    options.timeout = left;
     options.cancel = &cancel;
-    options.mostIdle = job.work.idempotent ? mostIdle : mostIdleForOther;
+    options.maxIdle = job.work.idempotent ? maxIdle : maxIdleNonIdempotent;
     const std::string requestId = platform::requestIdOf(job.work.request);
-    options.belongs = [&requestId](const HttpResponse &response) { return platform::belongsTo(response, requestId); };
-    const HttpRequest stamped = platform::stampForServer(job.work.request, serving->server, left);
+    options.matchesRequest = [&requestId](const HttpResponse &response) {
+        return platform::isResponseTo(response, requestId);
+    };
+    const HttpRequest stamped = platform::addServerHeaders(job.work.request, serving->server, left);
     if (job.work.idempotent) {
         job.control->interrupt = [&cancel] { cancel.cancel(); };
     }
-    innerCalls_.begin(job.id, job.work.route, job.work.priority, now);
+    nestedCalls_.begin(job.id, job.work.route, job.work.priority, now);
     const auto answer = core_.client.exchange(core_.settings.server->address, stamped, options);
-    job.callFailed = innerCalls_.sawFailedCall(job.id);
-    innerCalls_.end(job.id, core_.clock.now());
-    job.reply.calls = innerCalls_.rates(job.work.route);
+    job.callFailed = nestedCalls_.hadFailedCall(job.id);
+    nestedCalls_.end(job.id, core_.clock.now());
+    job.reply.calls = nestedCalls_.rates(job.work.route);
     job.control->interrupt = {};
-    const Duration worked = core_.clock.now() - now;
-    job.reply.worked = std::chrono::duration_cast<Millis>(worked);
-    judge(job, answer, worked);
+    const Duration processingTime = core_.clock.now() - now;
+    job.reply.processingTime = std::chrono::duration_cast<Millis>(processingTime);
+    handleResponse(job, answer, processingTime);
 }
 
-void LocalHome::judge(Job &job, const tl::expected<HttpResponse, ExchangeError> &answer, Duration worked)
+void LocalHome::handleResponse(Job &job, const tl::expected<HttpResponse, ExchangeError> &answer,
+                               Duration processingTime)
 {
     const SteadyTime now = core_.clock.now();
     if (!answer) {
-        judgeFailure(job, answer.error(), worked);
+        handleFailure(job, answer.error(), processingTime);
         return;
     }
     WorkReply &reply = job.reply;
     switch (platform::classifyAnswer(*answer)) {
     case platform::ServerAnswer::Answer:
-        queue_.addResult(job.work.route, false, worked, now);
+        queue_.addResult(job.work.route, false, processingTime, now);
         reply.outcome = Outcome::Ran;
         reply.response = *answer;
         break;
     case platform::ServerAnswer::Failure:
         if (!job.callFailed) {
-            queue_.addResult(job.work.route, true, worked, now);
+            queue_.addResult(job.work.route, true, processingTime, now);
         }
         reply.outcome = Outcome::Ran;
         reply.serverFault = true;
@@ -376,10 +380,10 @@
         reply.outcome = Outcome::NotRun;
         reply.reason = "other-server";
         server_.noteReplaced();
-        serverChanged(ServerChange::Left, "another server answers at its address");
+        serverChanged(ServerChange::Stopped, "another server answers at its address");
         break;
     case platform::ServerAnswer::Unusable:
-        queue_.addResult(job.work.route, true, worked, now);
+        queue_.addResult(job.work.route, true, processingTime, now);
         reply.outcome = Outcome::Unknown;
         reply.serverFault = true;
         reply.reason = "unusable-answer";
@@ -387,7 +391,7 @@
     }
 }
 
-void LocalHome::judgeFailure(Job &job, const ExchangeError &error, Duration worked)
+void LocalHome::handleFailure(Job &job, const ExchangeError &error, Duration processingTime)
 {
     const SteadyTime now = core_.clock.now();
     WorkReply &reply = job.reply;
@@ -398,9 +402,9 @@
         if (error.failure == ExchangeFailure::Connect) {
             // Nobody listens: the process ended. It comes back with a new heartbeat.
             server_.noteReplaced();
-            serverChanged(ServerChange::Left, "connection refused");
+            serverChanged(ServerChange::Stopped, "connection refused");
         } else if (!job.control->cancelled) {
-            queue_.addEvidence(silenceRatio, now);
+            queue_.addEvidence(timeoutLikelihoodRatio, now);
         }
         return;
     }
@@ -412,46 +416,46 @@
     }
     if (error.failure == ExchangeFailure::Timeout) {
         // Routes whose work never ends within their timeout say nothing about the server.
-        const bool knows = queue_.knowsWork(job.work.route);
-        if (knows && worked > silenceFactor * queue_.typicalWork(job.work.route)) {
-            queue_.addEvidence(silenceRatio, now);
+        const bool knows = queue_.hasWorkTime(job.work.route);
+        if (knows && processingTime > timeoutWorkFactor * queue_.expectedWorkTime(job.work.route)) {
+            queue_.addEvidence(timeoutLikelihoodRatio, now);
         }
         return;
     }
-    if (error.failure == ExchangeFailure::Reset && diedWith(job)) {
+    if (error.failure == ExchangeFailure::Reset && detectCrash(job)) {
         return;
     }
-    if (!error.onKeptConnection || error.failure != ExchangeFailure::Reset) {
-        queue_.addResult(job.work.route, true, worked, now);
+    if (!error.onReusedConnection || error.failure != ExchangeFailure::Reset) {
+        queue_.addResult(job.work.route, true, processingTime, now);
     }
 }
 
-bool LocalHome::diedWith(const Job &job)
+bool LocalHome::detectCrash(const Job &job)
 {
     // A request may end each server that begins it, and its caller sends it again. What tells it from a broken
     // connection: nobody listens at the server's address any more.
-    const Announcement *known = server_.known();
-    if (known == nullptr) {
+    const Announcement *latest = server_.latest();
+    if (latest == nullptr) {
         return false;
     }
-    const std::string server = known->server + "@" + hexText(known->incarnation);
+    const std::string server = latest->server + "@" + hexText(latest->incarnation);
     const Endpoint address = core_.settings.server->address;
-    if (!core_.client.hasEnded(address)) {
+    if (!core_.client.hasStoppedListening(address)) {
         return false;
     }
     core_.service<PoisonService>("poison").noteDeath(requestDigest(job.work.service, job.work.request), server);
     if (server_.serving() != nullptr) {
         server_.noteReplaced();
-        serverChanged(ServerChange::Left, "its process ended");
+        serverChanged(ServerChange::Stopped, "its process ended");
     }
     return true;
 }
 
-void LocalHome::withdraw(const WorkKey &key)
+void LocalHome::cancelQueued(const WorkKey &key)
 {
     const auto found = entries_.find(key);
-    if (found != entries_.end() && found->second.phase == Phase::Waiting) {
-        found->second.control->withdraw();
+    if (found != entries_.end() && found->second.phase == Phase::Queued) {
+        found->second.control->cancelQueued();
     }
 }
 
@@ -460,22 +464,22 @@
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
         // A Work with a large body may be overtaken by its Cancel.
-        entries_[key].phase = Phase::Forbidden;
+        entries_[key].phase = Phase::Fenced;
         ended_.emplace_back(core_.clock.now(), key);
     } else if (found->second.control) {
         found->second.control->cancel();
     }
 }
 
-FenceReply LocalHome::fence(const WorkKey &key, bool onlyAsk, Duration sentAgo)
+FenceReply LocalHome::fence(const WorkKey &key, bool queryOnly, Duration workAge)
 {
     FenceReply reply;
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
         // One that was sent before the last work forgotten had ended may have run, ended and been forgotten as well.
-        const SteadyTime sentAt = core_.clock.now() - sentAgo - longestTransit;
-        if (!onlyAsk && sentAt > forgottenUntil_) {
-            entries_[key].phase = Phase::Forbidden;
+        const SteadyTime sentAt = core_.clock.now() - workAge - maxFenceTransit;
+        if (!queryOnly && sentAt > evictedUntil_) {
+            entries_[key].phase = Phase::Fenced;
             ended_.emplace_back(core_.clock.now(), key);
             reply.state = FenceState::NeverRuns;
         }
@@ -483,15 +487,15 @@
     }
     Entry &entry = found->second;
     switch (entry.phase) {
-    case Phase::Forbidden:
+    case Phase::Fenced:
         reply.state = FenceState::NeverRuns;
         break;
-    case Phase::Waiting:
-        if (onlyAsk) {
+    case Phase::Queued:
+        if (queryOnly) {
             reply.state = FenceState::Underway;
             break;
         }
-        entry.phase = Phase::Forbidden;
+        entry.phase = Phase::Fenced;
         entry.control->cancel();
         reply.state = FenceState::NeverRuns;
         break;
@@ -506,17 +510,17 @@
     return reply;
 }
 
-bool LocalHome::isUnderway(const WorkKey &key) const
+bool LocalHome::isInProgress(const WorkKey &key) const
 {
     const auto found = entries_.find(key);
-    return found != entries_.end() && (found->second.phase == Phase::Waiting || found->second.phase == Phase::Running);
+    return found != entries_.end() && (found->second.phase == Phase::Queued || found->second.phase == Phase::Running);
 }
 
-void LocalHome::stopTaking()
+void LocalHome::stopAccepting()
 {
     if (!stopped_) {
         stopped_ = true;
-        dropWaiting(queue_.takeWaiting());
+        dropWaiting(queue_.removeWaiting());
     }
 }
 
@@ -532,34 +536,34 @@
 
 void LocalHome::noteArrival(const std::string &route, const std::string &service)
 {
-    innerCalls_.arrived(route, service, core_.clock.now());
+    nestedCalls_.arrived(route, service, core_.clock.now());
 }
 
-bool LocalHome::isInnerCall(const std::string &route) const
+bool LocalHome::isNestedCall(const std::string &route) const
 {
-    return innerCalls_.isInnerCall(route);
+    return nestedCalls_.isNestedCall(route);
 }
 
-std::optional<int> LocalHome::rankOfCaller(const std::string &service) const
+std::optional<int> LocalHome::callerRank(const std::string &service) const
 {
-    return innerCalls_.rankOfCaller(service);
+    return nestedCalls_.callerRank(service);
 }
 
 void LocalHome::noteFailedCall(const std::string &route, const std::string &service)
 {
-    innerCalls_.failed(route, service);
+    nestedCalls_.failed(route, service);
 }
 
-void LocalHome::noteToldInnerCall(const std::string &route)
+void LocalHome::noteNestedCall(const std::string &route)
 {
-    innerCalls_.noteTold(route);
+    nestedCalls_.markNested(route);
 }
 
-double LocalHome::shareOfZone(const std::string &zone, const std::set<std::string> &services) const
+double LocalHome::zoneShare(const std::string &zone, const std::set<std::string> &services) const
 {
     double all = 0.0;
     double named = 0.0;
-    for (const RosterEntryPtr &entry : core_.service<RosterKeeper>("roster").roster().all()) {
+    for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
         if (entry->zone == zone) {
             all += 1.0;
             named += services.count(entry->service) != 0 ? 1.0 : 0.0;
@@ -572,14 +576,14 @@
 {
     if (key.origin.id == core_.self.id) {
         origins_.note(route, core_.settings.zone, core_.settings.server->service);
-    } else if (const RosterEntryPtr sender = core_.service<RosterKeeper>("roster").roster().find(key.origin.id)) {
+    } else if (const RegistryEntryPtr sender = core_.service<RegistrySync>("registry").registry().find(key.origin.id)) {
         origins_.note(route, sender->zone, sender->service);
     }
 }
 
 bool LocalHome::serverLeft() const
 {
-    return server_.known() != nullptr && server_.serving() == nullptr;
+    return server_.latest() != nullptr && server_.serving() == nullptr;
 }
 
 } // namespace waxwing
