--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -17,10 +17,10 @@
 namespace waxwing {
 
 struct NodeCore;
-class FiberGate;
+class FiberLatch;
 
 /** Reason of a refusal that is final: servers died with this request, and no other one gets it. */
-constexpr const char *endsServersReason = "request-ends-servers";
+constexpr const char *poisonReason = "request-ends-servers";
 
 /** Names one Work in the fleet: who sent it and that one's number for it. */
 struct WorkKey {
@@ -51,18 +51,18 @@
     WorkReply run(const WorkKey &key, const Work &work, const RunControlPtr &control,
                   const std::function<void()> &onAdmitted = {});
     /** The sender wants the answer only if the work has begun. */
-    void withdraw(const WorkKey &key);
+    void cancelQueued(const WorkKey &key);
     /** The sender no longer wants the answer. Work that is not idempotent and has begun goes on. */
     void cancel(const WorkKey &key);
     /**
-     * What became of a Work that was sent @p sentAgo before it was asked for; unless @p onlyAsk it never begins after
+     * What became of a Work that was sent @p workAge before it was asked for; unless @p queryOnly it never begins after
      * this. NotKnown if it may have ended so long ago that it is forgotten.
      */
-    FenceReply fence(const WorkKey &key, bool onlyAsk, Duration sentAgo);
+    FenceReply fence(const WorkKey &key, bool queryOnly, Duration workAge);
     /** It waits or runs here. */
-    bool isUnderway(const WorkKey &key) const;
+    bool isInProgress(const WorkKey &key) const;
     /** No more work of other nodes, and what waits goes back to them: this one stops. */
-    void stopTaking();
+    void stopAccepting();
     /** As it stands for a request of @p priority. */
     HomeLoad load(int priority) const;
     /** Works waiting or running here. */
@@ -70,11 +70,11 @@
     /** A request of @p route for @p service came from this VM: from a caller, or from the server itself. */
     void noteArrival(const std::string &route, const std::string &service);
     /** Another node's home says that requests of @p route are calls of servers. */
-    void noteToldInnerCall(const std::string &route);
+    void noteNestedCall(const std::string &route);
     /** By what was seen so far requests of @p route from this VM are calls of the server beside this node. */
-    bool isInnerCall(const std::string &route) const;
+    bool isNestedCall(const std::string &route) const;
     /** Rank of the most urgent work under way here that may call @p service; nothing if none is seen to. */
-    std::optional<int> rankOfCaller(const std::string &service) const;
+    std::optional<int> callerRank(const std::string &service) const;
     /** A call of the server beside this node failed: what it runs may fail for that reason alone. */
     void noteFailedCall(const std::string &route, const std::string &service);
     /** The server said farewell or leaves. */
@@ -82,43 +82,43 @@
 
 private:
     enum class Phase {
-        Forbidden,
-        Waiting,
+        Fenced,
+        Queued,
         Running,
         Ended,
     };
     struct Entry {
-        Phase phase = Phase::Waiting;
+        Phase phase = Phase::Queued;
         std::uint64_t jobId = 0;
         bool idempotent = false;
         RunControlPtr control;
         WorkReply reply;
         SteadyTime endedAt;
     };
-    struct Turn {
-        std::shared_ptr<FiberGate> gate;
+    struct QueuedJob {
+        std::shared_ptr<FiberLatch> latch;
         bool started = false;
     };
     struct Job;
 
     /** Part of the VMs of @p zone whose server belongs to one of @p services, by the roster. */
-    double shareOfZone(const std::string &zone, const std::set<std::string> &services) const;
+    double zoneShare(const std::string &zone, const std::set<std::string> &services) const;
     void noteOrigin(const WorkKey &key, const std::string &route);
     void serverChanged(ServerChange change, const std::string &cause);
     void dropWaiting(const std::vector<std::uint64_t> &ids);
     void pollQueue();
     void expiryLoop();
-    bool awaitTurn(Job &job, const std::function<void()> &onAdmitted);
-    void handOver(Job &job);
-    void judge(Job &job, const tl::expected<HttpResponse, ExchangeError> &answer, Duration worked);
-    void judgeFailure(Job &job, const ExchangeError &error, Duration worked);
+    bool awaitSlot(Job &job, const std::function<void()> &onAdmitted);
+    void dispatch(Job &job);
+    void handleResponse(Job &job, const tl::expected<HttpResponse, ExchangeError> &answer, Duration processingTime);
+    void handleFailure(Job &job, const ExchangeError &error, Duration processingTime);
     /** True if the server's process ended with this request running; the request is remembered for it. */
-    bool diedWith(const Job &job);
+    bool detectCrash(const Job &job);
     WorkReply refusal(const Job &job, const std::string &reason) const;
-    void remember(const WorkKey &key, const WorkReply &reply);
+    void storeResult(const WorkKey &key, const WorkReply &reply);
     /** Drops the oldest large answers where there are too many: their works stay known as ended. */
-    void boundLargeAnswers();
-    void forget(const WorkKey &key);
+    void evictLargeAnswers();
+    void evict(const WorkKey &key);
 
     NodeCore &core_;
     LocalServerState server_;
@@ -126,14 +126,14 @@
     std::map<WorkKey, Entry> entries_;
     std::deque<std::pair<SteadyTime, WorkKey>> ended_;
     /** When the last work that is forgotten ended. */
-    SteadyTime forgottenUntil_;
+    SteadyTime evictedUntil_;
     /** Works that ended whose answer is large, oldest first, and the bytes of those answers. */
     std::deque<WorkKey> largeAnswers_;
     std::size_t largeBytes_ = 0;
-    std::map<std::uint64_t, Turn> turns_;
-    WaitPoint expiry_;
+    std::map<std::uint64_t, QueuedJob> queuedJobs_;
+    FiberNotifier expiry_;
     std::uint64_t nextJob_ = 1;
-    InnerCallMeter innerCalls_;
+    NestedCallTracker nestedCalls_;
     RouteOrigins origins_;
     bool stopped_ = false;
 };
--- a/src/sidecar/NewsService.cpp
+++ b/src/sidecar/NewsService.cpp
@@ -14,183 +14,183 @@
 
 namespace {
 
-constexpr Millis checkPause{100};
+constexpr Millis checkInterval{100};
 /** Time for the store to tell of a change that another node has heard of already. */
-constexpr Millis storeTellsWithin{300};
+constexpr Millis storeNotifyTimeout{300};
 /** A version that this node does not accept must not make it ask the store all the time. */
-constexpr Millis askStorePause{700};
+constexpr Millis storePollInterval{700};
 /** Time for the store to tell a node that has just started. */
-constexpr Millis storeStartsWithin{1000};
+constexpr Millis storeStartTimeout{1000};
 /** A large configuration takes seconds over a narrow link; a copy from a second node would only delay the first. */
-constexpr Millis copyTimeout{4000};
+constexpr Millis configRequestTimeout{4000};
 /** From this age on the other nodes are asked, which costs less than asking the store. */
-constexpr Millis askVersionsAfter{1200};
+constexpr Millis versionRequestAge{1200};
 /** A follower asks sooner: its answer must come before it stands in for the watchers. */
-constexpr Millis followerAsksAfter{900};
-constexpr Millis askVersionsPause{400};
+constexpr Millis followerVersionRequestAge{900};
+constexpr Millis versionRequestInterval{400};
 /** A larger document is told of and not sent: read from the store it holds up no watcher's link. */
-constexpr std::size_t mostToldBytes = 16UL * 1024;
+constexpr std::size_t maxPushedConfigBytes = 16UL * 1024;
 
 } // namespace
 
-NewsService::NewsService(NodeCore &core)
+StateUpdateService::StateUpdateService(NodeCore &core)
     : core_(core)
 { }
 
-void NewsService::start()
+void StateUpdateService::start()
 {
-    started_ = core_.clock.now();
+    startedAt_ = core_.clock.now();
     spawnFiber([this] { run(); });
 }
 
-KnownVersions NewsService::versions()
+KnownVersions StateUpdateService::versions()
 {
-    ConfigFollower &config = core_.service<ConfigFollower>("config");
-    KnownVersions own{config.version(), core_.service<RosterKeeper>("roster").roster().asOf()};
+    ConfigSync &config = core_.service<ConfigSync>("config");
+    KnownVersions own{config.version(), core_.service<RegistrySync>("registry").registry().revision()};
     if (const std::optional<Duration> age = config.freshness().age(core_.clock.now())) {
-        own.configAge = std::min(KnownVersions::mostConfigAge, std::chrono::ceil<Millis>(*age));
+        own.configAge = std::min(KnownVersions::maxConfigAge, std::chrono::ceil<Millis>(*age));
     }
-    own.storeAnswers = config.storeAnswers();
+    own.isStoreReachable = config.isStoreReachable();
     return own;
 }
 
-bool NewsService::isStoreAway() const
+bool StateUpdateService::isStoreUnreachable() const
 {
-    return !core_.service<RosterKeeper>("roster").storeAnswers();
+    return !core_.service<RegistrySync>("registry").isStoreReachable();
 }
 
-void NewsService::linkOpened(LinkId link)
+void StateUpdateService::linkOpened(LinkId link)
 {
     links_.insert(link);
 }
 
-void NewsService::linkClosed(LinkId link)
+void StateUpdateService::linkClosed(LinkId link)
 {
     links_.erase(link);
-    asked_.erase(link);
-    if (copyAskedOn_ == link) {
-        copyAskedOn_.reset();
+    pendingRequests_.erase(link);
+    if (configRequestedOn_ == link) {
+        configRequestedOn_.reset();
     }
     if (newerConfig_ && newerConfig_->link == link) {
         newerConfig_.reset();
     }
 }
 
-void NewsService::heard(LinkId link, const KnownVersions &theirs)
+void StateUpdateService::noteVersions(LinkId link, const KnownVersions &theirs)
 {
     // How long it was under way is not known, so it does not show that a node may begin to take callers.
-    ConfigFollower &config = core_.service<ConfigFollower>("config");
+    ConfigSync &config = core_.service<ConfigSync>("config");
     const SteadyTime now = core_.clock.now();
     if (!isFollower() && config.freshness().mayServeCallers(now, true)) {
-        confirmBy(theirs, now);
+        confirmFreshness(theirs, now);
     }
     if (const std::optional<NodeRef> peer = core_.service<PeerHub>("peers").peerOn(link)) {
-        core_.service<RegionWatch>("region-watch").noteStore(peer->id, theirs.storeAnswers);
+        core_.service<RegionWatch>("region-watch").noteStoreReachable(peer->id, theirs.isStoreReachable);
     }
-    noteNewer(link, theirs);
+    noteNewerVersions(link, theirs);
 }
 
-bool NewsService::isFollower() const
+bool StateUpdateService::isFollower() const
 {
     return core_.service<RegionWatch>("region-watch").role() == WatchRole::Follower;
 }
 
-void NewsService::configChanged()
+void StateUpdateService::configChanged()
 {
     RegionWatch &region = core_.service<RegionWatch>("region-watch");
     if (region.role() != WatchRole::Watcher) {
         return;
     }
-    News news;
-    news.versions = versions();
-    const std::string &document = core_.service<ConfigFollower>("config").current()->source;
-    if (document.size() <= mostToldBytes) {
-        news.config = document;
+    StateUpdate update;
+    update.versions = versions();
+    const std::string &document = core_.service<ConfigSync>("config").current()->source;
+    if (document.size() <= maxPushedConfigBytes) {
+        update.config = document;
     }
     std::size_t told = 0;
     for (const LinkId link : region.regionLinks()) {
-        told += core_.service<PeerHub>("peers").reply(link, news) ? 1 : 0;
+        told += core_.service<PeerHub>("peers").reply(link, update) ? 1 : 0;
     }
     core_.events.write(Severity::Info, "region_told",
-                       {{"version", std::to_string(news.versions.config)}, {"nodes", std::to_string(told)}});
+                       {{"version", std::to_string(update.versions.config)}, {"nodes", std::to_string(told)}});
 }
 
-void NewsService::confirmBy(const KnownVersions &theirs, SteadyTime sentAfter)
+void StateUpdateService::confirmFreshness(const KnownVersions &theirs, SteadyTime sentAfter)
 {
-    ConfigFollower &config = core_.service<ConfigFollower>("config");
-    if (theirs.config == config.version() && theirs.configAge < KnownVersions::mostConfigAge) {
+    ConfigSync &config = core_.service<ConfigSync>("config");
+    if (theirs.config == config.version() && theirs.configAge < KnownVersions::maxConfigAge) {
         config.freshness().confirm(sentAfter - theirs.configAge);
     }
 }
 
-void NewsService::noteNewer(LinkId link, const KnownVersions &theirs)
+void StateUpdateService::noteNewerVersions(LinkId link, const KnownVersions &theirs)
 {
-    const std::uint64_t held = core_.service<ConfigFollower>("config").version();
+    const std::uint64_t held = core_.service<ConfigSync>("config").version();
     const SteadyTime now = core_.clock.now();
     if (theirs.config > held && (!newerConfig_ || theirs.config > newerConfig_->version)) {
-        newerConfig_ = Newer{link, theirs.config, newerConfig_ ? newerConfig_->since : now};
+        newerConfig_ = NewerVersion{link, theirs.config, newerConfig_ ? newerConfig_->since : now};
     }
-    const bool newerRoster = theirs.roster > core_.service<RosterKeeper>("roster").roster().asOf();
-    if (newerRoster && isStoreAway() && now - lastAsked_ >= askVersionsPause) {
-        ask(link, false, true);
+    const bool newerRoster = theirs.registry > core_.service<RegistrySync>("registry").registry().revision();
+    if (newerRoster && isStoreUnreachable() && now - lastRequestAt_ >= versionRequestInterval) {
+        sendRequest(link, false, true);
     }
 }
 
-void NewsService::run()
+void StateUpdateService::run()
 {
     while (!core_.stopping) {
-        sleepFor(core_.ioContext, checkPause);
-        askIfNeeded();
+        sleepFor(core_.ioContext, checkInterval);
+        sendRequestIfNeeded();
     }
 }
 
-void NewsService::askIfNeeded()
+void StateUpdateService::sendRequestIfNeeded()
 {
-    ConfigFollower &config = core_.service<ConfigFollower>("config");
+    ConfigSync &config = core_.service<ConfigSync>("config");
     const SteadyTime now = core_.clock.now();
     if (newerConfig_ && newerConfig_->version <= config.version()) {
         newerConfig_.reset();
     }
-    if (newerConfig_ && now - newerConfig_->since >= storeTellsWithin && now - lookAskedAt_ >= askStorePause) {
-        lookAskedAt_ = now;
-        config.requestLook();
+    if (newerConfig_ && now - newerConfig_->since >= storeNotifyTimeout && now - storePolledAt_ >= storePollInterval) {
+        storePolledAt_ = now;
+        config.requestPoll();
     }
-    const std::optional<LinkId> holder = whomToAskForConfig();
-    if (holder && (!copyAskedOn_ || now >= copyUntil_)) {
-        copyAskedOn_ = holder;
-        copyUntil_ = now + copyTimeout;
-        ask(*holder, true, isStoreAway());
+    const std::optional<LinkId> holder = configRequestLink();
+    if (holder && (!configRequestedOn_ || now >= configRequestDeadline_)) {
+        configRequestedOn_ = holder;
+        configRequestDeadline_ = now + configRequestTimeout;
+        sendRequest(*holder, true, isStoreUnreachable());
         return;
     }
-    const bool old = config.freshness().isOlderThan(isFollower() ? followerAsksAfter : askVersionsAfter, now);
-    if (config.version() == 0 || !old || now - lastAsked_ < askVersionsPause) {
+    const bool old = config.freshness().isOlderThan(isFollower() ? followerVersionRequestAge : versionRequestAge, now);
+    if (config.version() == 0 || !old || now - lastRequestAt_ < versionRequestInterval) {
         return;
     }
-    if (const std::optional<LinkId> other = whomToAskForVersions()) {
-        ask(*other, false, false);
+    if (const std::optional<LinkId> other = versionRequestLink()) {
+        sendRequest(*other, false, false);
     }
 }
 
-std::optional<LinkId> NewsService::whomToAskForVersions()
+std::optional<LinkId> StateUpdateService::versionRequestLink()
 {
     const std::optional<LinkId> watcher = core_.service<RegionWatch>("region-watch").linkToWatcher();
-    return watcher && asked_.count(*watcher) == 0 ? watcher : anyLink();
+    return watcher && pendingRequests_.count(*watcher) == 0 ? watcher : randomLink();
 }
 
-std::optional<LinkId> NewsService::whomToAskForConfig()
+std::optional<LinkId> StateUpdateService::configRequestLink()
 {
-    ConfigFollower &config = core_.service<ConfigFollower>("config");
+    ConfigSync &config = core_.service<ConfigSync>("config");
     const SteadyTime now = core_.clock.now();
     if (newerConfig_) {
-        const bool storeFails = config.freshness().hasFailedSince(newerConfig_->since) || !config.storeAnswers();
+        const bool storeFails = config.freshness().hasFailedSince(newerConfig_->since) || !config.isStoreReachable();
         return storeFails ? std::optional<LinkId>(newerConfig_->link) : std::nullopt;
     }
-    const bool storeIsLate = !config.storeAnswers() && now - started_ >= storeStartsWithin;
-    const bool storeFailed = config.freshness().hasFailedSince(started_);
-    return config.version() == 0 && (storeIsLate || storeFailed) ? anyLink() : std::nullopt;
+    const bool storeIsLate = !config.isStoreReachable() && now - startedAt_ >= storeStartTimeout;
+    const bool storeFailed = config.freshness().hasFailedSince(startedAt_);
+    return config.version() == 0 && (storeIsLate || storeFailed) ? randomLink() : std::nullopt;
 }
 
-std::optional<LinkId> NewsService::anyLink()
+std::optional<LinkId> StateUpdateService::randomLink()
 {
     if (links_.empty()) {
         return std::nullopt;
@@ -198,49 +198,49 @@
     return *std::next(links_.begin(), static_cast<std::ptrdiff_t>(core_.random() % links_.size()));
 }
 
-void NewsService::ask(LinkId link, bool wantsConfig, bool wantsRoster)
+void StateUpdateService::sendRequest(LinkId link, bool wantsConfig, bool wantsRegistry)
 {
-    lastAsked_ = core_.clock.now();
-    const std::uint64_t id = nextQuestion_++;
-    asked_.emplace(link, Question{id, lastAsked_});
-    core_.service<PeerHub>("peers").reply(link, NewsRequest{id, versions(), wantsConfig, wantsRoster});
+    lastRequestAt_ = core_.clock.now();
+    const std::uint64_t id = nextRequestId_++;
+    pendingRequests_.emplace(link, PendingRequest{id, lastRequestAt_});
+    core_.service<PeerHub>("peers").reply(link, StateUpdateRequest{id, versions(), wantsConfig, wantsRegistry});
 }
 
-void NewsService::handleRequest(LinkId link, const NewsRequest &request)
+void StateUpdateService::handleRequest(LinkId link, const StateUpdateRequest &request)
 {
-    heard(link, request.versions);
-    News news;
-    news.id = request.id;
-    news.versions = versions();
-    if (request.wantsConfig && news.versions.config > request.versions.config) {
-        news.config = core_.service<ConfigFollower>("config").current()->source;
+    noteVersions(link, request.versions);
+    StateUpdate update;
+    update.id = request.id;
+    update.versions = versions();
+    if (request.wantsConfig && update.versions.config > request.versions.config) {
+        update.config = core_.service<ConfigSync>("config").current()->source;
     }
-    if (request.wantsRoster && news.versions.roster > request.versions.roster) {
-        for (const RosterEntryPtr &entry : core_.service<RosterKeeper>("roster").roster().all()) {
-            news.roster.push_back(*entry);
+    if (request.wantsRegistry && update.versions.registry > request.versions.registry) {
+        for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
+            update.registry.push_back(*entry);
         }
     }
-    core_.service<PeerHub>("peers").reply(link, news);
+    core_.service<PeerHub>("peers").reply(link, update);
 }
 
-void NewsService::handleNews(LinkId link, const NodeRef &from, const News &news)
+void StateUpdateService::handleUpdate(LinkId link, const NodeRef &from, const StateUpdate &update)
 {
-    ConfigFollower &config = core_.service<ConfigFollower>("config");
-    if (copyAskedOn_ == link) {
-        copyAskedOn_.reset();
+    ConfigSync &config = core_.service<ConfigSync>("config");
+    if (configRequestedOn_ == link) {
+        configRequestedOn_.reset();
     }
-    if (!news.config.empty() && news.versions.config > config.version()) {
-        config.take(news.config, from.id);
+    if (!update.config.empty() && update.versions.config > config.version()) {
+        config.applyDocument(update.config, from.id);
     }
-    core_.service<RosterKeeper>("roster").takeList(news.roster, news.versions.roster);
-    const auto asked = asked_.find(link);
+    core_.service<RegistrySync>("registry").applyPeerList(update.registry, update.versions.registry);
+    const auto asked = pendingRequests_.find(link);
     // An answer to a later question shows at least what one to the oldest would.
-    if (asked != asked_.end() && news.id >= asked->second.id) {
-        confirmBy(news.versions, asked->second.sentAt);
-        asked_.erase(asked);
+    if (asked != pendingRequests_.end() && update.id >= asked->second.id) {
+        confirmFreshness(update.versions, asked->second.sentAt);
+        pendingRequests_.erase(asked);
     }
-    core_.service<RegionWatch>("region-watch").noteStore(from.id, news.versions.storeAnswers);
-    noteNewer(link, news.versions);
+    core_.service<RegionWatch>("region-watch").noteStoreReachable(from.id, update.versions.isStoreReachable);
+    noteNewerVersions(link, update.versions);
 }
 
 } // namespace waxwing
--- a/src/sidecar/NewsService.h
+++ b/src/sidecar/NewsService.h
@@ -21,10 +21,10 @@
  * A node that follows its region's watchers has nothing but their word. It asks them, and takes as the age of their
  * word that of its own question: a message that was held up on its way confirms nothing there. Not thread safe.
  */
-class NewsService
+class StateUpdateService
 {
 public:
-    explicit NewsService(NodeCore &core);
+    explicit StateUpdateService(NodeCore &core);
     /** Starts the fiber that asks. */
     void start();
     /** What this node holds. */
@@ -32,50 +32,50 @@
     void linkOpened(LinkId link);
     void linkClosed(LinkId link);
     /** A message about work came on @p link from a node that holds these. */
-    void heard(LinkId link, const KnownVersions &theirs);
-    void handleRequest(LinkId link, const NewsRequest &request);
-    void handleNews(LinkId link, const NodeRef &from, const News &news);
+    void noteVersions(LinkId link, const KnownVersions &theirs);
+    void handleRequest(LinkId link, const StateUpdateRequest &request);
+    void handleUpdate(LinkId link, const NodeRef &from, const StateUpdate &news);
     /** The configuration changed: if this node watches the store for its region, tells the region's nodes. */
     void configChanged();
 
 private:
     /** Somebody holds a higher version. */
-    struct Newer {
+    struct NewerVersion {
         LinkId link = 0;
         std::uint64_t version = 0;
         SteadyTime since;
     };
 
-    struct Question {
+    struct PendingRequest {
         std::uint64_t id = 0;
         SteadyTime sentAt;
     };
 
-    void noteNewer(LinkId link, const KnownVersions &theirs);
-    void confirmBy(const KnownVersions &theirs, SteadyTime sentAfter);
+    void noteNewerVersions(LinkId link, const KnownVersions &theirs);
+    void confirmFreshness(const KnownVersions &theirs, SteadyTime sentAfter);
     void run();
-    void askIfNeeded();
+    void sendRequestIfNeeded();
     /** The link to ask for the configuration itself; nothing as long as the store is likely to bring it. */
-    std::optional<LinkId> whomToAskForConfig();
-    std::optional<LinkId> anyLink();
+    std::optional<LinkId> configRequestLink();
+    std::optional<LinkId> randomLink();
     /** Whom to ask which versions it holds: a watcher, unless it has left a question unanswered. */
-    std::optional<LinkId> whomToAskForVersions();
+    std::optional<LinkId> versionRequestLink();
     bool isFollower() const;
-    void ask(LinkId link, bool wantsConfig, bool wantsRoster);
-    bool isStoreAway() const;
+    void sendRequest(LinkId link, bool wantsConfig, bool wantsRegistry);
+    bool isStoreUnreachable() const;
 
     NodeCore &core_;
     std::set<LinkId> links_;
-    SteadyTime started_;
-    std::optional<Newer> newerConfig_;
+    SteadyTime startedAt_;
+    std::optional<NewerVersion> newerConfig_;
     /** A question for the configuration is under way until then, and no second one is sent. */
-    std::optional<LinkId> copyAskedOn_;
-    SteadyTime copyUntil_;
+    std::optional<LinkId> configRequestedOn_;
+    SteadyTime configRequestDeadline_;
     /** The oldest question that is unanswered on each link. */
-    std::map<LinkId, Question> asked_;
-    std::uint64_t nextQuestion_ = 1;
-    SteadyTime lastAsked_;
-    SteadyTime lookAskedAt_;
+    std::map<LinkId, PendingRequest> pendingRequests_;
+    std::uint64_t nextRequestId_ = 1;
+    SteadyTime lastRequestAt_;
+    SteadyTime storePolledAt_;
 };
 
 } // namespace waxwing
--- a/src/sidecar/RegionWatch.cpp
+++ b/src/sidecar/RegionWatch.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 /** How soon a watcher whose link has closed, or one that joined, shows in the choice. */
-constexpr Millis refreshPause{400};
+constexpr Millis refreshInterval{400};
 } // namespace
 
 RegionWatch::RegionWatch(NodeCore &core, WatchElectionTuning tuning)
@@ -20,29 +20,29 @@
 void RegionWatch::refresh()
 {
     const SteadyTime now = core_.clock.now();
-    if (now - refreshedAt_ < refreshPause) {
+    if (now - refreshedAt_ < refreshInterval) {
         return;
     }
     refreshedAt_ = now;
     PeerHub &peers = core_.service<PeerHub>("peers");
-    const Roster &roster = core_.service<RosterKeeper>("roster").roster();
+    const NodeRegistry &registry = core_.service<RegistrySync>("registry").registry();
     std::vector<std::string> reachable;
-    for (const RosterEntryPtr &entry : roster.all()) {
+    for (const RegistryEntryPtr &entry : registry.all()) {
         const bool near = entry->region == core_.settings.region && entry->id != core_.self.id;
         if (near && peers.openLinkAt(entry->links)) {
             reachable.push_back(entry->id);
         }
     }
     election_.setReachable(reachable, now);
-    watcherLinks_.clear();
-    for (const std::string &watcher : election_.others()) {
-        if (const RosterEntryPtr entry = roster.find(watcher)) {
-            watcherLinks_.push_back(entry->links);
+    watcherEndpoints_.clear();
+    for (const std::string &watcher : election_.otherWatchers()) {
+        if (const RegistryEntryPtr entry = registry.find(watcher)) {
+            watcherEndpoints_.push_back(entry->links);
         }
     }
 }
 
-WatchRole RegionWatch::decide(std::optional<Duration> age)
+WatchRole RegionWatch::updateRole(std::optional<Duration> age)
 {
     refresh();
     const WatchRole before = role_;
@@ -57,9 +57,9 @@
     return role_;
 }
 
-void RegionWatch::noteStore(const std::string &node, bool answers)
+void RegionWatch::noteStoreReachable(const std::string &node, bool answers)
 {
-    election_.noteStore(node, answers, core_.clock.now());
+    election_.noteStoreReachable(node, answers, core_.clock.now());
 }
 
 WatchRole RegionWatch::role() const
@@ -69,10 +69,10 @@
 
 std::optional<LinkId> RegionWatch::linkToWatcher()
 {
-    if (watcherLinks_.empty()) {
+    if (watcherEndpoints_.empty()) {
         return std::nullopt;
     }
-    const Endpoint &links = watcherLinks_[core_.random() % watcherLinks_.size()];
+    const Endpoint &links = watcherEndpoints_[core_.random() % watcherEndpoints_.size()];
     return core_.service<PeerHub>("peers").openLinkAt(links);
 }
 
@@ -80,7 +80,7 @@
 {
     PeerHub &peers = core_.service<PeerHub>("peers");
     std::vector<LinkId> links;
-    for (const RosterEntryPtr &entry : core_.service<RosterKeeper>("roster").roster().all()) {
+    for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
         const bool near = entry->region == core_.settings.region && entry->id != core_.self.id;
         const std::optional<LinkId> link = near ? peers.openLinkAt(entry->links) : std::nullopt;
         if (link) {
--- a/src/sidecar/RegionWatch.h
+++ b/src/sidecar/RegionWatch.h
@@ -17,10 +17,10 @@
 {
 public:
     RegionWatch(NodeCore &core, WatchElectionTuning tuning);
-    /** Decides anew; @p age is that of the configuration held. @pre "peers" and "roster" are in the kernel. */
-    WatchRole decide(std::optional<Duration> age);
+    /** Decides anew; @p age is that of the configuration held. @pre "peers" and "registry" are in the kernel. */
+    WatchRole updateRole(std::optional<Duration> age);
     /** @p node says whether the store @p answers it. */
-    void noteStore(const std::string &node, bool answers);
+    void noteStoreReachable(const std::string &node, bool answers);
     /** As decided last. */
     WatchRole role() const;
     /** An open link to a watcher of this region on another node; one of them at random. */
@@ -36,7 +36,7 @@
     WatchRole role_ = WatchRole::Watcher;
     SteadyTime refreshedAt_;
     /** Of the watchers on other nodes. */
-    std::vector<Endpoint> watcherLinks_;
+    std::vector<Endpoint> watcherEndpoints_;
 };
 
 } // namespace waxwing
--- a/src/sidecar/RosterKeeper.h
+++ b/src/sidecar/RosterKeeper.h
@@ -17,35 +17,35 @@
  * that a restart of the same node changes, so a restarted node has nothing to write and is found while the store is
  * away. Not thread safe.
  */
-class RosterKeeper
+class RegistrySync
 {
 public:
-    explicit RosterKeeper(NodeCore &core);
-    ~RosterKeeper();
-    RosterKeeper(const RosterKeeper &) = delete;
-    RosterKeeper &operator=(const RosterKeeper &) = delete;
+    explicit RegistrySync(NodeCore &core);
+    ~RegistrySync();
+    RegistrySync(const RegistrySync &) = delete;
+    RegistrySync &operator=(const RegistrySync &) = delete;
 
     void start();
     /** Called after each change; register before start(). */
     void onChange(std::function<void()> hook);
     /** Removes the own entry: this node does not come back. @pre called from a fiber. */
-    void withdraw();
+    void removeOwnEntry();
     /** Takes another node's list if it is newer and the store does not answer here. */
-    void takeList(const std::vector<RosterEntry> &entries, std::uint64_t asOf);
-    const Roster &roster() const;
-    bool storeAnswers() const;
+    void applyPeerList(const std::vector<RegistryEntry> &entries, std::uint64_t revision);
+    const NodeRegistry &registry() const;
+    bool isStoreReachable() const;
 
 private:
-    void takeChanges(const ObjectChanges &changes);
+    void handleChanges(const ObjectChanges &changes);
     void publishLoop();
-    bool isOwnEntryRight() const;
+    bool isOwnEntryCurrent() const;
 
     NodeCore &core_;
-    Roster roster_;
+    NodeRegistry registry_;
     std::unique_ptr<StoreWatch> watch_;
-    std::function<void()> hook_;
-    bool listed_ = false;
-    bool withdrawn_ = false;
+    std::function<void()> onChange_;
+    bool hasList_ = false;
+    bool ownEntryRemoved_ = false;
 };
 
 } // namespace waxwing
--- a/src/sidecar/SecondSendService.cpp
+++ b/src/sidecar/SecondSendService.cpp
@@ -11,106 +11,106 @@
 namespace {
 
 /** Lenders answer within a round trip of the region, some 3 ms. */
-constexpr Millis lenderTimeout{60};
-constexpr BorrowTuning borrowing;
+constexpr Millis transferTimeout{60};
+constexpr TransferTuning transferTuning;
 /** Pause after nobody had anything to lend: the windows of the lenders move on by a step of half a second. */
-constexpr Millis dryPause{500};
+constexpr Millis transferPause{500};
 /** Requests that went short are remembered for some steps of the window. */
-constexpr Millis shortMemory{2000};
+constexpr Millis denialRetention{2000};
 
 } // namespace
 
-SecondSendService::SecondSendService(NodeCore &core, SecondSendTuning tuning)
+RetryBudgetService::RetryBudgetService(NodeCore &core, FleetRetryTuning tuning)
     : core_(core)
     , tuning_(tuning)
 { }
 
-SecondSendBudget &SecondSendService::budgetOf(const std::string &service)
+FleetRetryBudget &RetryBudgetService::budgetOf(const std::string &service)
 {
     return budgets_.try_emplace(service, tuning_).first->second;
 }
 
-std::size_t SecondSendService::nodes() const
+std::size_t RetryBudgetService::nodeCount() const
 {
-    return std::max<std::size_t>(1, core_.service<RosterKeeper>("roster").roster().size());
+    return std::max<std::size_t>(1, core_.service<RegistrySync>("registry").registry().size());
 }
 
-void SecondSendService::noteRequest(const std::string &service)
+void RetryBudgetService::noteRequest(const std::string &service)
 {
     budgetOf(service).noteRequest(core_.clock.now());
 }
 
-void SecondSendService::noteDenied(const std::string &service, int rank)
+void RetryBudgetService::noteDenied(const std::string &service, int rank)
 {
-    denied_[service][rank] = core_.clock.now();
+    lastDenied_[service][rank] = core_.clock.now();
 }
 
-SecondSend SecondSendService::purposeOf(const std::string &service, int rank) const
+RetryReason RetryBudgetService::reasonFor(const std::string &service, int rank) const
 {
-    const auto found = denied_.find(service);
-    if (found == denied_.end()) {
-        return SecondSend::AfterFailure;
+    const auto found = lastDenied_.find(service);
+    if (found == lastDenied_.end()) {
+        return RetryReason::Failure;
     }
-    const SteadyTime since = core_.clock.now() - shortMemory;
+    const SteadyTime since = core_.clock.now() - denialRetention;
     const bool yields = std::any_of(found->second.begin(), found->second.end(),
                                     [&](const auto &seen) { return seen.first < rank && seen.second >= since; });
-    return yields ? SecondSend::AfterLessUrgentFailure : SecondSend::AfterFailure;
+    return yields ? RetryReason::LowPriorityFailure : RetryReason::Failure;
 }
 
-bool SecondSendService::has(const CallRates &sends, SecondSend purpose) const
+bool RetryBudgetService::has(const CallRates &sends, RetryReason purpose) const
 {
     const SteadyTime now = core_.clock.now();
     return std::all_of(sends.begin(), sends.end(), [&](const auto &one) {
         const auto found = budgets_.find(one.first);
-        return found == budgets_.end() ? SecondSendBudget(tuning_).has(one.second, nodes(), purpose, now)
-                                       : found->second.has(one.second, nodes(), purpose, now);
+        return found == budgets_.end() ? FleetRetryBudget(tuning_).has(one.second, nodeCount(), purpose, now)
+                                       : found->second.has(one.second, nodeCount(), purpose, now);
     });
 }
 
-bool SecondSendService::mayHave(const CallRates &sends, SecondSend purpose) const
+bool RetryBudgetService::canAfford(const CallRates &sends, RetryReason purpose) const
 {
     const SteadyTime now = core_.clock.now();
     return std::all_of(sends.begin(), sends.end(), [&](const auto &one) {
-        const auto dry = dryUntil_.find(one.first);
-        const bool borrowable = dry == dryUntil_.end() || now >= dry->second;
+        const auto dry = noTransferUntil_.find(one.first);
+        const bool borrowable = dry == noTransferUntil_.end() || now >= dry->second;
         return borrowable || has({one}, purpose);
     });
 }
 
-bool SecondSendService::spend(const CallRates &sends, SecondSend purpose)
+bool RetryBudgetService::spend(const CallRates &sends, RetryReason purpose)
 {
-    if (purpose != SecondSend::Hedge) {
+    if (purpose != RetryReason::Hedge) {
         for (const auto &[service, count] : sends) {
             if (!has({{service, count}}, purpose)) {
-                borrow(service, count, purpose);
+                requestTransfers(service, count, purpose);
             }
         }
     }
     if (!has(sends, purpose)) {
         return false;
     }
-    take(sends);
+    debit(sends);
     return true;
 }
 
-void SecondSendService::take(const CallRates &sends)
+void RetryBudgetService::debit(const CallRates &sends)
 {
     for (const auto &[service, count] : sends) {
         budgetOf(service).take(count, core_.clock.now());
     }
 }
 
-void SecondSendService::giveBack(const CallRates &sends)
+void RetryBudgetService::giveBack(const CallRates &sends)
 {
     for (const auto &[service, count] : sends) {
-        budgetOf(service).giveBack(count, core_.clock.now());
+        budgetOf(service).refund(count, core_.clock.now());
     }
 }
 
-std::vector<RosterEntry> SecondSendService::lenders() const
+std::vector<RegistryEntry> RetryBudgetService::transferCandidates() const
 {
-    std::vector<RosterEntry> near;
-    for (const RosterEntryPtr &entry : core_.service<RosterKeeper>("roster").roster().all()) {
+    std::vector<RegistryEntry> near;
+    for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
         if (entry->region == core_.settings.region && entry->id != core_.self.id) {
             near.push_back(*entry);
         }
@@ -119,27 +119,27 @@
         return near;
     }
     std::rotate(near.begin(), near.begin() + static_cast<std::ptrdiff_t>(core_.random() % near.size()), near.end());
-    near.resize(std::min(near.size(), borrowing.mostLenders));
+    near.resize(std::min(near.size(), transferTuning.maxDonors));
     return near;
 }
 
-void SecondSendService::borrow(const std::string &service, double sends, SecondSend purpose)
+void RetryBudgetService::requestTransfers(const std::string &service, double sends, RetryReason purpose)
 {
-    const auto dry = dryUntil_.find(service);
-    if (dry != dryUntil_.end() && core_.clock.now() < dry->second) {
+    const auto dry = noTransferUntil_.find(service);
+    if (dry != noTransferUntil_.end() && core_.clock.now() < dry->second) {
         return;
     }
     double borrowed = 0.0;
-    for (const RosterEntry &lender : lenders()) {
-        const double lent = askOne(lender, service, sends + borrowing.ahead - borrowed, purpose);
-        budgetOf(service).borrow(lent, core_.clock.now());
+    for (const RegistryEntry &donor : transferCandidates()) {
+        const double lent = requestTransfer(donor, service, sends + transferTuning.extraTokens - borrowed, purpose);
+        budgetOf(service).transferIn(lent, core_.clock.now());
         borrowed += lent;
         if (has({{service, sends}}, purpose)) {
             break;
         }
     }
     if (borrowed < sends) {
-        dryUntil_[service] = core_.clock.now() + dryPause;
+        noTransferUntil_[service] = core_.clock.now() + transferPause;
     }
     core_.metrics.count(borrowed > 0.0 ? "second_sends_borrowed" : "second_sends_not_lent");
     core_.events.writeRequest(
@@ -147,42 +147,42 @@
         {{"service", service}, {"asked", std::to_string(sends)}, {"borrowed", std::to_string(borrowed)}});
 }
 
-double SecondSendService::askOne(const RosterEntry &lender, const std::string &service, double sends,
-                                 SecondSend purpose)
+double RetryBudgetService::requestTransfer(const RegistryEntry &donor, const std::string &service, double sends,
+                                           RetryReason purpose)
 {
     PeerHub &peers = core_.service<PeerHub>("peers");
-    const Expected<LinkId> link = peers.linkAt(lender.links, lenderTimeout);
+    const Expected<LinkId> link = peers.linkAt(donor.links, transferTimeout);
     const std::uint64_t id = nextId_++;
-    if (!link || !peers.reply(*link, LendRequest{id, service, sends, purpose != SecondSend::AfterFailure})) {
+    if (!link || !peers.reply(*link, BudgetTransferRequest{id, service, sends, purpose != RetryReason::Failure})) {
         core_.metrics.count("lenders_not_reached");
         return 0.0;
     }
     const auto pending = std::make_shared<Pending>();
-    pending->point = std::make_shared<WaitPoint>();
+    pending->notifier = std::make_shared<FiberNotifier>();
     pending_[id] = pending;
-    const SteadyTime until = core_.clock.now() + lenderTimeout;
+    const SteadyTime until = core_.clock.now() + transferTimeout;
     while (!pending->answered && core_.clock.now() < until) {
-        pending->point->wait(core_.ioContext, until - core_.clock.now());
+        pending->notifier->wait(core_.ioContext, until - core_.clock.now());
     }
     pending_.erase(id);
-    return pending->sends;
+    return pending->tokens;
 }
 
-void SecondSendService::handle(LinkId link, const LendRequest &request)
+void RetryBudgetService::handle(LinkId link, const BudgetTransferRequest &request)
 {
-    const SecondSend purpose = request.lessUrgent ? SecondSend::AfterLessUrgentFailure : SecondSend::AfterFailure;
-    const double lent = budgetOf(request.service).lend(request.sends, purpose, nodes(), core_.clock.now());
-    core_.service<PeerHub>("peers").reply(link, LendReply{request.id, lent});
+    const RetryReason purpose = request.lowPriority ? RetryReason::LowPriorityFailure : RetryReason::Failure;
+    const double lent = budgetOf(request.service).transferOut(request.tokens, purpose, nodeCount(), core_.clock.now());
+    core_.service<PeerHub>("peers").reply(link, BudgetTransferReply{request.id, lent});
 }
 
-void SecondSendService::handleReply(const LendReply &reply)
+void RetryBudgetService::handleReply(const BudgetTransferReply &reply)
 {
     // A reply after the timeout is dropped: the lender counts it as sent, so the bound holds all the same.
     const auto found = pending_.find(reply.id);
     if (found != pending_.end()) {
         found->second->answered = true;
-        found->second->sends = reply.sends;
-        found->second->point->wake();
+        found->second->tokens = reply.tokens;
+        found->second->notifier->notify();
     }
 }
 
--- a/src/sidecar/SidecarNode.cpp
+++ b/src/sidecar/SidecarNode.cpp
@@ -29,38 +29,38 @@
 
 namespace {
 
-constexpr Millis stopPoll{20};
+constexpr Millis stopPollInterval{20};
 /** The platform asks each second and takes a node out after two misses; then no caller comes any more. */
-constexpr Millis callersHear{2300};
+constexpr Millis callerDrainDelay{2300};
 /** Other nodes are turned away this long after the stop began: their work has other homes. */
-constexpr Millis homeStaysOpen{1000};
+constexpr Millis homeDrainDelay{1000};
 /** Kept from the time until the process is killed. */
 constexpr Millis stopMargin{400};
 /** Time for the last answers to leave the sockets. */
-constexpr Millis lastWords{50};
+constexpr Millis leaveGrace{50};
 /**
  * Work that was under way for so long is refused. Its sender asked for its fate within about a second and may have been
  * told that it never runs; what it was told is remembered here for several times as long as this.
  */
-constexpr Millis refusedWhenLate{1500};
+constexpr Millis maxWorkDelay{1500};
 /** Events kept in memory; the log has them all, and memory is paid for. */
-constexpr std::size_t eventsKept = 128;
+constexpr std::size_t maxKeptEvents = 128;
 /** Links to the region's nodes are opened before the first request needs them. */
 constexpr Millis warmTimeout{1500};
 /** A killed process is back within a second or so; a VM that is gone costs a connection attempt now and then. */
-constexpr Millis firstRelink{500};
-constexpr Millis longestRelink{8000};
+constexpr Millis initialReconnectDelay{500};
+constexpr Millis maxReconnectDelay{8000};
 
-Millis graceOf(const NodeSettings &settings)
+Millis stopGrace(const NodeSettings &settings)
 {
     Findings findings;
     return settings.bounds.empty() ? settings.times.stopWithin
                                    : platform::decodeBounds(settings.bounds, findings).stopGrace;
 }
 
-SecondSendTuning budgetOf(const NodeSettings &settings)
+FleetRetryTuning retryTuning(const NodeSettings &settings)
 {
-    SecondSendTuning tuning;
+    FleetRetryTuning tuning;
     if (!settings.bounds.empty()) {
         Findings findings;
         const platform::FleetBounds bounds = platform::decodeBounds(settings.bounds, findings);
@@ -71,15 +71,15 @@
     return tuning;
 }
 
-WatchElectionTuning electionOf(const NodeSettings &settings)
+WatchElectionTuning watchElectionTuning(const NodeSettings &settings)
 {
     // What is left of the time that a change has is for reading it.
-    constexpr double partForOthers = 0.6;
+    constexpr double standInFraction = 0.6;
     WatchElectionTuning tuning;
     if (!settings.bounds.empty()) {
         Findings findings;
         const Millis applies = platform::decodeBounds(settings.bounds, findings).configApply;
-        tuning.standInAfter = std::chrono::duration_cast<Millis>(applies * partForOthers);
+        tuning.standInAfter = std::chrono::duration_cast<Millis>(applies * standInFraction);
     }
     return tuning;
 }
@@ -89,24 +89,24 @@
 struct SidecarNode::Parts {
     Parts(boost::asio::io_context &ioContext, const Clock &clock, const NodeSettings &settings,
           std::uint64_t incarnation)
-        : core(ioContext, clock, settings, incarnation, stableHash(settings.node, incarnation), eventsKept)
+        : core(ioContext, clock, settings, incarnation, stableHash(settings.node, incarnation), maxKeptEvents)
         , store(core.client, settings.objectApi)
         , burn(clock)
-        , poison(core, [this](const Record &record) { tellAll(record); })
+        , poison(core, [this](const Record &record) { broadcast(record); })
         , home(core)
         , fences(core,
                  [this](const Fence &fence) {
-                     return home.fence(WorkKey{fence.origin, fence.workId}, fence.onlyAsk, fence.sentAgo);
+                     return home.fence(WorkKey{fence.origin, fence.workId}, fence.queryOnly, fence.workAge);
                  })
         , paths(core)
         , sender(core, fences, paths)
-        , region(core, electionOf(settings))
+        , region(core, watchElectionTuning(settings))
         , config(core)
-        , roster(core)
-        , news(core)
-        , secondSends(core, budgetOf(settings))
-        , forwarder(core, home, sender, secondSends, paths)
-        , front(core)
+        , registry(core)
+        , updates(core)
+        , retryBudgets(core, retryTuning(settings))
+        , forwarder(core, home, sender, retryBudgets, paths)
+        , callerHandler(core)
     { }
 
     Expected<void> build();
@@ -116,13 +116,13 @@
     void handleMessage(LinkId link, const NodeRef &from, Message message);
     void handleWork(LinkId link, const NodeRef &from, Work work);
     /** Remembers where the sender of a Work that is under way was heard last: its answer goes there. */
-    void noteAnswerLink(LinkId link, const NodeRef &from, const Fence &fence);
+    void noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence);
     void applyConfig(const FleetConfig &changed);
     void warmLinks();
     /** Sends the record to every node of the roster: news that can't wait for a watch. */
-    void tellAll(const Record &record);
+    void broadcast(const Record &record);
     /** Opens the link to a node of this region again, with growing pauses, as long as the roster names it. */
-    void relink(const std::string &peer);
+    void reconnect(const std::string &peer);
 
     NodeCore core;
     ObjectApi store;
@@ -130,21 +130,21 @@
     PoisonService poison;
     LocalHome home;
     FenceService fences;
-    PathWatch paths;
+    PathMonitor paths;
     WorkSender sender;
     RegionWatch region;
-    ConfigFollower config;
-    RosterKeeper roster;
-    NewsService news;
-    SecondSendService secondSends;
+    ConfigSync config;
+    RegistrySync registry;
+    StateUpdateService updates;
+    RetryBudgetService retryBudgets;
     Forwarder forwarder;
-    CallerFront front;
+    CallerHandler callerHandler;
     std::unique_ptr<PeerHub> peers;
-    std::map<LinkId, TransitMeter> transits;
-    std::map<WorkKey, LinkId> answerLinks;
+    std::map<LinkId, LinkDelayEstimator> linkDelays;
+    std::map<WorkKey, LinkId> replyLinks;
     /** Links that this node opened, by the node at the other end. */
     std::map<LinkId, std::string> outgoingLinks;
-    std::set<std::string> relinking;
+    std::set<std::string> reconnecting;
     std::unique_ptr<HttpServer> callerServer;
     std::unique_ptr<HttpServer> controlServer;
     std::unique_ptr<HttpServer> readinessServer;
@@ -157,25 +157,25 @@
     hooks.onMessage = [this](LinkId link, const NodeRef &from, Message message) {
         handleMessage(link, from, std::move(message));
     };
-    hooks.onGarbage = [this](const std::string &reason) {
+    hooks.onMalformed = [this](const std::string &reason) {
         core.metrics.count("link_garbage");
         core.events.write(Severity::Warning, "link_garbage", {{"reason", reason}});
     };
     hooks.onLinkOpen = [this](LinkId link, bool outgoing) {
-        news.linkOpened(link);
+        updates.linkOpened(link);
         if (outgoing) {
             outgoingLinks[link] = peers->peerOn(link).value_or(NodeRef{}).id;
         }
     };
     hooks.onLinkClosed = [this](LinkId link) {
-        transits.erase(link);
+        linkDelays.erase(link);
         sender.linkClosed(link);
-        news.linkClosed(link);
+        updates.linkClosed(link);
         const auto lost = outgoingLinks.find(link);
         if (lost != outgoingLinks.end()) {
             const std::string peer = lost->second;
             outgoingLinks.erase(lost);
-            relink(peer);
+            reconnect(peer);
         }
     };
     peers = std::make_unique<PeerHub>(core.ioContext, core.clock, core.self, std::move(hooks));
@@ -187,15 +187,15 @@
     provide("peers", *peers);
     provide("region-watch", region);
     provide("config", config);
-    provide("roster", roster);
-    provide("news", news);
+    provide("registry", registry);
+    provide("state-updates", updates);
     provide("forwarder", forwarder);
     config.onChange([this](const FleetConfig &changed) {
         applyConfig(changed);
-        news.configChanged();
+        updates.configChanged();
     });
-    roster.onChange([this] {
-        forwarder.rosterChanged();
+    registry.onChange([this] {
+        forwarder.registryChanged();
         warmLinks();
     });
     return ok;
@@ -230,10 +230,11 @@
     Expected<void> ok =
         open(core.settings.operators, controlServer,
              [this](const HttpRequest &request, const CallerWatchPtr &) { return handleControl(request); });
-    ok =
-        ok ? open(core.settings.readiness, readinessServer,
-                  [this](const HttpRequest &request, const CallerWatchPtr &) { return front.handleReadiness(request); })
-           : ok;
+    ok = ok ? open(core.settings.readiness, readinessServer,
+                   [this](const HttpRequest &request, const CallerWatchPtr &) {
+                       return callerHandler.handleReadiness(request);
+                   })
+            : ok;
     ok = ok && core.settings.metrics.port != 0
              ? open(core.settings.metrics, metricsServer,
                     [this](const HttpRequest &, const CallerWatchPtr &) {
@@ -245,7 +246,7 @@
              : ok;
     ok = ok ? open(core.settings.callers, callerServer,
                    [this](HttpRequest request, const CallerWatchPtr &caller) {
-                       return front.handle(std::move(request), caller);
+                       return callerHandler.handle(std::move(request), caller);
                    })
             : ok;
     return ok;
@@ -263,45 +264,45 @@
 void SidecarNode::Parts::handleMessage(LinkId link, const NodeRef &from, Message message)
 {
     if (auto *work = std::get_if<Work>(&message)) {
-        news.heard(link, work->versions);
+        updates.noteVersions(link, work->versions);
         handleWork(link, from, std::move(*work));
     } else if (auto *reply = std::get_if<WorkReply>(&message)) {
-        news.heard(link, reply->versions);
+        updates.noteVersions(link, reply->versions);
         sender.handleReply(std::move(*reply));
-    } else if (const auto *receipt = std::get_if<WorkReceipt>(&message)) {
-        news.heard(link, receipt->versions);
-        sender.handleReceipt(*receipt);
+    } else if (const auto *receipt = std::get_if<WorkAck>(&message)) {
+        updates.noteVersions(link, receipt->versions);
+        sender.handleAck(*receipt);
     } else if (const auto *cancel = std::get_if<Cancel>(&message)) {
         const WorkKey key{from, cancel->id};
-        cancel->onlyWaiting ? home.withdraw(key) : home.cancel(key);
+        cancel->onlyIfQueued ? home.cancelQueued(key) : home.cancel(key);
     } else if (const auto *fence = std::get_if<Fence>(&message)) {
-        noteAnswerLink(link, from, *fence);
+        noteReplyLink(link, from, *fence);
         fences.handle(link, from, *fence);
     } else if (const auto *fate = std::get_if<FenceReply>(&message)) {
         fences.handleReply(*fate);
-    } else if (const auto *loan = std::get_if<LendRequest>(&message)) {
-        secondSends.handle(link, *loan);
-    } else if (const auto *lent = std::get_if<LendReply>(&message)) {
-        secondSends.handleReply(*lent);
+    } else if (const auto *loan = std::get_if<BudgetTransferRequest>(&message)) {
+        retryBudgets.handle(link, *loan);
+    } else if (const auto *lent = std::get_if<BudgetTransferReply>(&message)) {
+        retryBudgets.handleReply(*lent);
     } else if (const auto *suspicion = std::get_if<PathSuspicion>(&message)) {
         paths.handle(*suspicion);
-    } else if (const auto *request = std::get_if<NewsRequest>(&message)) {
-        news.handleRequest(link, *request);
-    } else if (const auto *told = std::get_if<News>(&message)) {
-        news.handleNews(link, from, *told);
+    } else if (const auto *request = std::get_if<StateUpdateRequest>(&message)) {
+        updates.handleRequest(link, *request);
+    } else if (const auto *told = std::get_if<StateUpdate>(&message)) {
+        updates.handleUpdate(link, from, *told);
     } else if (const auto *records = std::get_if<RecordsPush>(&message)) {
         for (const Record &record : records->records) {
-            poison.take(record);
+            poison.applyRecord(record);
         }
     }
 }
 
 void SidecarNode::Parts::handleWork(LinkId link, const NodeRef &from, Work work)
 {
-    const Millis late = transits[link].lateness(peers->helloAge(link).value_or(Duration(0)), work.helloAge);
+    const Millis late = linkDelays[link].excessDelay(peers->helloAge(link).value_or(Duration(0)), work.helloAge);
     work.remaining -= late;
     work.untilObjective -= late;
-    if (late >= refusedWhenLate) {
+    if (late >= maxWorkDelay) {
         core.metrics.count("work_arrived_late");
         core.events.write(
             Severity::Warning, "work_arrived_late",
@@ -311,7 +312,7 @@
         refusal.outcome = Outcome::NotRun;
         refusal.reason = "arrived-late";
         refusal.load = home.load(work.priority);
-        refusal.versions = news.versions();
+        refusal.versions = updates.versions();
         peers->reply(link, refusal);
         return;
     }
@@ -320,39 +321,39 @@
         const auto control = std::make_shared<RunControl>();
         // A refusal answers at once; only what stays here needs a receipt.
         WorkReply reply = home.run(key, work, control, [&] {
-            peers->reply(link, WorkReceipt{work.id, news.versions()});
+            peers->reply(link, WorkAck{work.id, updates.versions()});
         });
-        reply.versions = news.versions();
-        const auto asked = answerLinks.find(key);
-        const LinkId way = asked == answerLinks.end() ? link : asked->second;
-        answerLinks.erase(key);
+        reply.versions = updates.versions();
+        const auto asked = replyLinks.find(key);
+        const LinkId way = asked == replyLinks.end() ? link : asked->second;
+        replyLinks.erase(key);
         peers->reply(way, std::move(reply));
     });
 }
 
-void SidecarNode::Parts::noteAnswerLink(LinkId link, const NodeRef &from, const Fence &fence)
+void SidecarNode::Parts::noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence)
 {
     // The sender asks over a fresh link because nothing came on the one that carried the Work.
     const WorkKey key{fence.origin, fence.workId};
-    if (from == fence.origin && fence.target == core.self && home.isUnderway(key)) {
-        answerLinks[key] = link;
+    if (from == fence.origin && fence.target == core.self && home.isInProgress(key)) {
+        replyLinks[key] = link;
     }
 }
 
 void SidecarNode::Parts::applyConfig(const FleetConfig &changed)
 {
-    front.configChanged();
+    callerHandler.configChanged();
     HttpLimits limits = MakeHttpLimits(core.settings.limits);
     limits.headerBytes = changed.limits.headerBytes;
     limits.bodyBytes = changed.limits.bodyBytes;
-    limits.header = changed.limits.header;
-    limits.idle = changed.limits.idle;
+    limits.headerTimeout = changed.limits.headerTimeout;
+    limits.idleTimeout = changed.limits.idleTimeout;
     callerServer->setLimits(limits);
 }
 
 void SidecarNode::Parts::warmLinks()
 {
-    for (const RosterEntryPtr &entry : roster.roster().all()) {
+    for (const RegistryEntryPtr &entry : registry.registry().all()) {
         const bool near = entry->region == core.settings.region && entry->id != core.self.id;
         if (near) {
             spawnFiber([this, links = entry->links] {
@@ -363,9 +364,9 @@
     }
 }
 
-void SidecarNode::Parts::tellAll(const Record &record)
+void SidecarNode::Parts::broadcast(const Record &record)
 {
-    for (const RosterEntryPtr &entry : roster.roster().all()) {
+    for (const RegistryEntryPtr &entry : registry.registry().all()) {
         if (entry->id == core.self.id) {
             continue;
         }
@@ -378,19 +379,19 @@
     }
 }
 
-void SidecarNode::Parts::relink(const std::string &peer)
+void SidecarNode::Parts::reconnect(const std::string &peer)
 {
-    const RosterEntryPtr lost = roster.roster().find(peer);
-    if (lost == nullptr || lost->region != core.settings.region || !relinking.insert(peer).second) {
+    const RegistryEntryPtr lost = registry.registry().find(peer);
+    if (lost == nullptr || lost->region != core.settings.region || !reconnecting.insert(peer).second) {
         return;
     }
     // A node that was restarted while the store is away knows nobody; it learns the configuration and the other nodes
     // from the first one that opens a link to it.
     spawnFiber([this, peer] {
-        Millis pause = firstRelink;
+        Millis pause = initialReconnectDelay;
         while (!core.stopping) {
             sleepFor(core.ioContext, pause);
-            const RosterEntryPtr entry = roster.roster().find(peer);
+            const RegistryEntryPtr entry = registry.registry().find(peer);
             if (entry == nullptr) {
                 break;
             }
@@ -398,9 +399,9 @@
             if (peers->linkAt(links, warmTimeout)) {
                 break;
             }
-            pause = std::min(longestRelink, pause * 2);
+            pause = std::min(maxReconnectDelay, pause * 2);
         }
-        relinking.erase(peer);
+        reconnecting.erase(peer);
     });
 }
 
@@ -415,8 +416,8 @@
     }
     parts->home.start();
     parts->config.start();
-    parts->roster.start();
-    parts->news.start();
+    parts->registry.start();
+    parts->updates.start();
     parts->core.events.write(Severity::Info, "node_started",
                              {{"node", parts->core.self.text()},
                               {"service", settings.server->service},
@@ -451,35 +452,35 @@
 {
     NodeCore &core = parts_->core;
     const SteadyTime began = core.clock.now();
-    const SteadyTime until = began + graceOf(core.settings) - stopMargin;
+    const SteadyTime until = began + stopGrace(core.settings) - stopMargin;
     const bool comesBack = !parts_->home.serverLeft();
     core.events.write(Severity::Info, "node_stopping",
                       {{"node", core.self.text()}, {"serverLeft", comesBack ? "no" : "yes"}});
     core.draining = true;
-    parts_->forwarder.stopBy(until);
+    parts_->forwarder.setStopDeadline(until);
     parts_->callerServer->announceClose();
     if (!comesBack) {
-        parts_->roster.withdraw();
+        parts_->registry.removeOwnEntry();
     }
     const auto busy = [&] { return parts_->callerServer->requestsInFlight() > 0 || parts_->home.busy() > 0; };
     bool listening = true;
     while (core.clock.now() < until) {
         const Duration since = core.clock.now() - began;
-        if (since >= homeStaysOpen) {
-            parts_->home.stopTaking();
+        if (since >= homeDrainDelay) {
+            parts_->home.stopAccepting();
         }
-        if (since >= callersHear && listening) {
+        if (since >= callerDrainDelay && listening) {
             parts_->callerServer->drain();
             listening = false;
         }
         if (!listening && !busy()) {
             break;
         }
-        sleepFor(core.ioContext, stopPoll);
+        sleepFor(core.ioContext, stopPollInterval);
     }
     const bool clean = !busy();
-    parts_->forwarder.endAll();
-    sleepFor(core.ioContext, lastWords);
+    parts_->forwarder.abortAll();
+    sleepFor(core.ioContext, leaveGrace);
     core.stopping = true;
     parts_->controlServer->drain();
     parts_->peers->stop();
--- a/src/sidecar/StoreWatch.cpp
+++ b/src/sidecar/StoreWatch.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 /** How often it is looked whether the store must be asked beside the watch. */
-constexpr Millis lookCheck{250};
+constexpr Millis pollCheckInterval{250};
 /** How soon a follower begins to watch once it has to. */
 constexpr Millis roleCheck{200};
 } // namespace
@@ -29,36 +29,36 @@
 
 void StoreWatch::run()
 {
-    if (tuning_.lookAfter) {
-        spawnFiber([this] { lookLoop(); });
+    if (tuning_.pollAfter) {
+        spawnFiber([this] { pollLoop(); });
     }
-    Millis backoff = tuning_.firstBackoff;
+    Millis backoff = tuning_.initialBackoff;
     while (!core_.stopping) {
         const WatchRole part = role();
-        const bool begins = part == WatchRole::StandIn && !standsIn_;
-        following_ = part == WatchRole::Follower;
-        standsIn_ = part == WatchRole::StandIn;
-        if (following_) {
+        const bool begins = part == WatchRole::StandIn && !isStandIn_;
+        isFollower_ = part == WatchRole::Follower;
+        isStandIn_ = part == WatchRole::StandIn;
+        if (isFollower_) {
             sleepFor(core_.ioContext, roleCheck);
             continue;
         }
         const WatchCall call = nextCall(part, begins);
-        waiting_ = call.cancel != nullptr;
+        isWaiting_ = call.cancel != nullptr;
         const CallResult result = callStore(call);
-        waiting_ = false;
+        isWaiting_ = false;
         if (!result.answered) {
             // Jitter: after an outage not every node comes back at the same moment.
-            backoff = begins ? tuning_.firstStandInBackoff : backoff;
+            backoff = begins ? tuning_.initialStandInBackoff : backoff;
             sleepFor(core_.ioContext, randomBetween(backoff / 2, backoff));
             backoff = nextBackoff(part, backoff);
             continue;
         }
-        backoff = tuning_.firstBackoff;
+        backoff = tuning_.initialBackoff;
         // A list of a kind that has no objects yet may carry no revision to watch from.
-        if (since_ == 0) {
-            sleepFor(core_.ioContext, tuning_.longestBackoff);
-        } else if (result.changed && tuning_.gather > Millis(0)) {
-            sleepFor(core_.ioContext, tuning_.gather);
+        if (revision_ == 0) {
+            sleepFor(core_.ioContext, tuning_.maxBackoff);
+        } else if (result.changed && tuning_.batchDelay > Millis(0)) {
+            sleepFor(core_.ioContext, tuning_.batchDelay);
         }
     }
 }
@@ -66,69 +66,69 @@
 WatchRole StoreWatch::role() const
 {
     // Others can confirm only what this node has.
-    const bool mayFollow = tuning_.role && since_ > 0;
+    const bool mayFollow = tuning_.role && revision_ > 0;
     return mayFollow ? tuning_.role() : WatchRole::Watcher;
 }
 
 Millis StoreWatch::nextBackoff(WatchRole role, Millis last) const
 {
     const bool standsIn = role == WatchRole::StandIn;
-    return std::min(standsIn ? tuning_.longestStandInBackoff : tuning_.longestBackoff, last * 2);
+    return std::min(standsIn ? tuning_.maxStandInBackoff : tuning_.maxBackoff, last * 2);
 }
 
 WatchCall StoreWatch::nextCall(WatchRole role, bool begins)
 {
     WatchCall call;
-    call.since = since_;
+    call.since = revision_;
     // A stand-in often begins since the store is away: its first call shows that soon.
-    if (healthy_ && since_ > 0 && !begins) {
+    if (healthy_ && revision_ > 0 && !begins) {
         const bool standsIn = role == WatchRole::StandIn;
-        call.wait = standsIn ? randomBetween(tuning_.shortestStandInWait, tuning_.longestStandInWait)
-                             : randomBetween(tuning_.shortestWait, tuning_.longestWait);
-        call.answerWithin = standsIn ? tuning_.lookTimeout : call.answerWithin;
-        call.cancel = &waitingCall_;
+        call.wait = standsIn ? randomBetween(tuning_.minStandInWait, tuning_.maxStandInWait)
+                             : randomBetween(tuning_.minWait, tuning_.maxWait);
+        call.responseTimeout = standsIn ? tuning_.pollTimeout : call.responseTimeout;
+        call.cancel = &watchCancel_;
     } else {
         // Nothing shows that the store hears this node, and a store that does not would be waited for in vain.
-        call.answerWithin = since_ > 0 ? tuning_.lookTimeout : call.answerWithin;
-        call.fresh = true;
+        call.responseTimeout = revision_ > 0 ? tuning_.pollTimeout : call.responseTimeout;
+        call.newConnection = true;
     }
     return call;
 }
 
-void StoreWatch::lookLoop()
+void StoreWatch::pollLoop()
 {
-    Millis spread = randomBetween(Millis(0), tuning_.lookSpread);
-    Millis backoff = tuning_.firstBackoff;
+    Millis jitter = randomBetween(Millis(0), tuning_.pollJitter);
+    Millis backoff = tuning_.initialBackoff;
     while (!core_.stopping) {
-        if (!isLookDue(spread)) {
-            lookWanted_.wait(core_.ioContext, lookCheck);
+        if (!isPollDue(jitter)) {
+            pollWakeup_.wait(core_.ioContext, pollCheckInterval);
             continue;
         }
-        lookRequested_ = false;
-        look();
-        spread = randomBetween(Millis(0), tuning_.lookSpread);
-        backoff = healthy_ ? tuning_.firstBackoff : std::min(tuning_.longestBackoff, backoff * 2);
+        pollRequested_ = false;
+        poll();
+        jitter = randomBetween(Millis(0), tuning_.pollJitter);
+        backoff = healthy_ ? tuning_.initialBackoff : std::min(tuning_.maxBackoff, backoff * 2);
         sleepFor(core_.ioContext, randomBetween(backoff / 2, backoff));
     }
 }
 
-bool StoreWatch::isLookDue(Duration spread) const
+bool StoreWatch::isPollDue(Duration jitter) const
 {
     // A stand-in's own calls come as often as looks would.
-    const bool old = !standsIn_ && freshness_.isOlderThan(*tuning_.lookAfter + spread, core_.clock.now());
-    return (waiting_ || following_) && (lookRequested_ || old);
+    const bool old = !isStandIn_ && freshness_.isOlderThan(*tuning_.pollAfter + jitter, core_.clock.now());
+    return (isWaiting_ || isFollower_) && (pollRequested_ || old);
 }
 
-void StoreWatch::look()
+void StoreWatch::poll()
 {
     WatchCall call;
-    call.since = since_;
-    call.answerWithin = tuning_.lookTimeout;
-    call.fresh = true;
+    call.since = revision_;
+    call.responseTimeout = tuning_.pollTimeout;
+    call.newConnection = true;
     const CallResult result = callStore(call);
-    if (result.changed && waiting_) {
-        superseded_ = true;
-        waitingCall_.cancel();
+    if (result.changed && isWaiting_) {
+        watchCancelled_ = true;
+        watchCancel_.cancel();
     }
 }
 
@@ -137,42 +137,42 @@
     const SteadyTime asked = core_.clock.now();
     const Expected<ObjectChanges> changes = core_.service<ObjectApi>("platform").watch(kind_, call, tuning_.mode);
     logCall(call, core_.clock.now() - asked, changes);
-    const bool ended = !changes && call.cancel != nullptr && superseded_;
-    superseded_ = superseded_ && call.cancel == nullptr;
+    const bool ended = !changes && call.cancel != nullptr && watchCancelled_;
+    watchCancelled_ = watchCancelled_ && call.cancel == nullptr;
     if (ended) {
         return CallResult{true, false};
     }
     if (!changes) {
-        takeFailure(asked, changes.error().message);
+        handleFailure(asked, changes.error().message);
         return CallResult{false, false};
     }
-    takeAnswer(call, asked, *changes);
+    handleResponse(call, asked, *changes);
     return CallResult{true, !changes->objects.empty()};
 }
 
-void StoreWatch::takeAnswer(const WatchCall &call, SteadyTime asked, const ObjectChanges &changes)
+void StoreWatch::handleResponse(const WatchCall &call, SteadyTime asked, const ObjectChanges &changes)
 {
     if (!healthy_) {
         core_.events.write(Severity::Info, "store_answers",
                            {{"kind", kind_}, {"revision", std::to_string(changes.revision)}});
     }
     healthy_ = true;
-    tried_ = true;
-    since_ = changes.complete ? changes.revision : std::max(since_, changes.revision);
+    hasCalled_ = true;
+    revision_ = changes.complete ? changes.revision : std::max(revision_, changes.revision);
     // A long wait ends at a change, or at the end of its time, and may end sooner; its answer may be read later.
-    const bool waited = call.since > 0 && call.wait > WatchCall::shortestWait;
+    const bool waited = call.since > 0 && call.wait > WatchCall::minWait;
     freshness_.confirm(waited ? std::min(core_.clock.now(), asked + call.wait) : asked);
     onChanges_(changes);
 }
 
-void StoreWatch::takeFailure(SteadyTime asked, const std::string &reason)
+void StoreWatch::handleFailure(SteadyTime asked, const std::string &reason)
 {
-    if (healthy_ || !tried_) {
+    if (healthy_ || !hasCalled_) {
         core_.events.write(Severity::Warning, "store_lost", {{"kind", kind_}, {"reason", reason}});
     }
     healthy_ = false;
-    tried_ = true;
-    freshness_.fail(asked, core_.clock.now());
+    hasCalled_ = true;
+    freshness_.noteFailure(asked, core_.clock.now());
 }
 
 void StoreWatch::logCall(const WatchCall &call, Duration took, const Expected<ObjectChanges> &result)
@@ -204,10 +204,10 @@
     return freshness_;
 }
 
-void StoreWatch::requestLook()
+void StoreWatch::requestPoll()
 {
-    lookRequested_ = true;
-    lookWanted_.wake();
+    pollRequested_ = true;
+    pollWakeup_.notify();
 }
 
 } // namespace waxwing
--- a/src/sidecar/StoreWatch.h
+++ b/src/sidecar/StoreWatch.h
@@ -18,28 +18,28 @@
 struct StoreWatchTuning {
     ReadMode mode = ReadMode::Current;
     /** After changes came, the next call waits this long, so that a burst of changes costs one call and not many. */
-    Millis gather{0};
+    Millis batchDelay{0};
     /**
      * A waiting call ends after a random time in this range. Every end shows that the store is heard. They begin early
      * since a change ends the calls of all nodes at the same moment.
      */
-    Millis shortestWait = std::chrono::seconds(1);
-    Millis longestWait = std::chrono::seconds(25);
+    Millis minWait = std::chrono::seconds(1);
+    Millis maxWait = std::chrono::seconds(25);
     /** What is held may be this old, and a random part of the spread, before the store is asked beside the watch. */
-    std::optional<Millis> lookAfter;
-    Millis lookSpread{1000};
+    std::optional<Millis> pollAfter;
+    Millis pollJitter{1000};
     /** A call that only asks whether there is something new must be answered within this. */
-    Millis lookTimeout{1000};
-    Millis firstBackoff{150};
+    Millis pollTimeout{1000};
+    Millis initialBackoff{150};
     /** Also how long after the end of an outage the store is asked again at the latest. */
-    Millis longestBackoff{1500};
+    Millis maxBackoff{1500};
     /** Asked before each call. A follower makes none; without this hook the node always watches. */
     std::function<WatchRole()> role;
     /** The waits and the backoff of a stand-in: in an outage all nodes of a region are stand-ins. */
-    Millis shortestStandInWait{1500};
-    Millis longestStandInWait{2500};
-    Millis firstStandInBackoff{1000};
-    Millis longestStandInBackoff{2500};
+    Millis minStandInWait{1500};
+    Millis maxStandInWait{2500};
+    Millis initialStandInBackoff{1000};
+    Millis maxStandInBackoff{2500};
 };
 
 /**
@@ -62,7 +62,7 @@
     Freshness &freshness();
     const Freshness &freshness() const;
     /** Asks the store beside the watch as soon as can be: something newer is known to exist. */
-    void requestLook();
+    void requestPoll();
 
 private:
     struct CallResult {
@@ -74,13 +74,13 @@
     /** @p begins: the first call in this role. */
     WatchCall nextCall(WatchRole role, bool begins);
     Millis nextBackoff(WatchRole role, Millis last) const;
-    void lookLoop();
-    bool isLookDue(Duration spread) const;
+    void pollLoop();
+    bool isPollDue(Duration jitter) const;
     /** Asks the store once, on another connection than the watch's. */
-    void look();
+    void poll();
     CallResult callStore(const WatchCall &call);
-    void takeAnswer(const WatchCall &call, SteadyTime asked, const ObjectChanges &changes);
-    void takeFailure(SteadyTime asked, const std::string &reason);
+    void handleResponse(const WatchCall &call, SteadyTime asked, const ObjectChanges &changes);
+    void handleFailure(SteadyTime asked, const std::string &reason);
     Millis randomBetween(Millis least, Millis most);
     /** One line an attempt: a call that is refused, one that fails and one that is never answered look different. */
     void logCall(const WatchCall &call, Duration took, const Expected<ObjectChanges> &result);
@@ -90,19 +90,19 @@
     StoreWatchTuning tuning_;
     ChangesHook onChanges_;
     Freshness freshness_;
-    std::uint64_t since_ = 0;
+    std::uint64_t revision_ = 0;
     bool healthy_ = false;
     /** Something was tried: the first failure is a loss as well. */
-    bool tried_ = false;
+    bool hasCalled_ = false;
     /** The watch waits for a change; only then, and while others watch for this node, are looks needed. */
-    bool waiting_ = false;
-    bool following_ = false;
-    bool standsIn_ = false;
+    bool isWaiting_ = false;
+    bool isFollower_ = false;
+    bool isStandIn_ = false;
     /** Ends the waiting call when a look has shown that it hears nothing. */
-    ExchangeCancel waitingCall_;
-    bool superseded_ = false;
-    WaitPoint lookWanted_;
-    bool lookRequested_ = false;
+    ExchangeCancel watchCancel_;
+    bool watchCancelled_ = false;
+    FiberNotifier pollWakeup_;
+    bool pollRequested_ = false;
 };
 
 } // namespace waxwing
--- a/src/sidecar/WorkSender.h
+++ b/src/sidecar/WorkSender.h
@@ -13,7 +13,7 @@
 
 struct NodeCore;
 class FenceService;
-class PathWatch;
+class PathMonitor;
 struct SentWork;
 
 /** Reason of a reply that says: the home was asked, and has not run it and never will. */
@@ -33,35 +33,35 @@
 class WorkSender
 {
 public:
-    WorkSender(NodeCore &core, FenceService &fences, PathWatch &paths);
+    WorkSender(NodeCore &core, FenceService &fences, PathMonitor &paths);
 
     /** @pre called from a fiber; @p far: the home is in another region. */
-    SendResult run(const RosterEntry &home, bool far, Work work, SteadyTime deadline, const RunControlPtr &control);
+    SendResult run(const RegistryEntry &home, bool far, Work work, SteadyTime deadline, const RunControlPtr &control);
 
-    void handleReceipt(const WorkReceipt &receipt);
+    void handleAck(const WorkAck &receipt);
     void handleReply(WorkReply reply);
     void linkClosed(LinkId link);
 
 private:
     struct Pending;
 
-    SendResult unreachable(std::uint64_t id, const std::string &reason) const;
+    SendResult pathFailure(std::uint64_t id, const std::string &reason) const;
     /** The path is in doubt: told at once, long before the send that found out has ended. */
     void noteFailedPath(Pending &pending, const SentWork &sent);
     /** False if no receipt came in time. */
-    bool awaitReceipt(Pending &pending, const SentWork &sent, SteadyTime deadline);
+    bool awaitAck(Pending &pending, const SentWork &sent, SteadyTime deadline);
     void awaitReply(Pending &pending, const SentWork &sent, SteadyTime deadline);
     /** The link has been silent for a while: asks on it. False if no answer came. */
-    bool askWhetherUnderway(Pending &pending, const SentWork &sent, SteadyTime deadline);
+    bool queryProgress(Pending &pending, const SentWork &sent, SteadyTime deadline);
     /** The path is in doubt: asks by every way until the fate is known or the time is over. */
-    void settle(Pending &pending, const SentWork &sent, SteadyTime deadline, bool forbid);
+    void resolveOutcome(Pending &pending, const SentWork &sent, SteadyTime deadline, bool forbid);
     /** A receipt, or the reply itself: either shows the path's round trip. */
-    void noteHeard(Pending &pending);
-    void logFate(const Pending &pending, const SentWork &sent, const FenceReply &fate) const;
+    void noteAck(Pending &pending);
+    void logFenceReply(const Pending &pending, const SentWork &sent, const FenceReply &fate) const;
 
     NodeCore &core_;
     FenceService &fences_;
-    PathWatch &paths_;
+    PathMonitor &paths_;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_;
     std::uint64_t nextId_ = 1;
 };
--- a/src/wire/Messages.cpp
+++ b/src/wire/Messages.cpp
@@ -23,20 +23,20 @@
     ClaimHandover,
     RecordNames,
     Work,
-    WorkReceipt,
+    WorkAck,
     WorkReply,
     Fence,
     FenceReply,
-    NewsRequest,
-    News,
-    LendRequest,
-    LendReply,
+    StateUpdateRequest,
+    StateUpdate,
+    BudgetTransferRequest,
+    BudgetTransferReply,
     PathSuspicion,
 };
 
 /** Positions 0 and 1 of each message hold the protocol version and the type. */
-constexpr std::size_t body = 2;
-constexpr std::size_t mostHeaders = 1000;
+constexpr std::size_t firstField = 2;
+constexpr std::size_t maxHeaders = 1000;
 
 json bytesOf(const std::string &text)
 {
@@ -62,7 +62,7 @@
 HeaderList headersFrom(const json &value)
 {
     HeaderList headers;
-    if (!value.is_array() || value.size() % 2 != 0 || value.size() / 2 > mostHeaders) {
+    if (!value.is_array() || value.size() % 2 != 0 || value.size() / 2 > maxHeaders) {
         throw json::other_error::create(501, "bad header list", &value);
     }
     for (std::size_t i = 0; i < value.size(); i += 2) {
@@ -71,15 +71,15 @@
     return headers;
 }
 
-json start(Type type)
+json startMessage(Type type)
 {
     return json::array({wireVersion, static_cast<int>(type)});
 }
 
 template<typename... Fields>
-json with(Type type, Fields &&...fields)
+json makeMessage(Type type, Fields &&...fields)
 {
-    json out = start(type);
+    json out = startMessage(type);
     (out.push_back(std::forward<Fields>(fields)), ...);
     return out;
 }
@@ -147,7 +147,7 @@
                       RecordVersion{value.at(2).get<std::uint64_t>(), value.at(3).get<std::uint64_t>()}};
 }
 
-constexpr double doubtSteps = 1000.0;
+constexpr double probabilitySteps = 1000.0;
 constexpr double slowdownSteps = 100.0;
 
 json refOf(const NodeRef &ref)
@@ -162,27 +162,28 @@
 
 /** An age takes one or two bytes so. */
 constexpr Millis configAgeStep{100};
-constexpr std::uint64_t mostConfigAgeSteps = KnownVersions::mostConfigAge / configAgeStep;
+constexpr std::uint64_t maxConfigAgeSteps = KnownVersions::maxConfigAge / configAgeStep;
 
 json versionsOf(const KnownVersions &versions)
 {
     // Rounded up: an age may be taken for more than it is, never for less.
     const auto steps = (versions.configAge + configAgeStep - Millis(1)) / configAgeStep;
-    return json::array({versions.config, versions.roster, steps, versions.storeAnswers});
+    return json::array({versions.config, versions.registry, steps, versions.isStoreReachable});
 }
 
 KnownVersions versionsFrom(const json &value)
 {
-    const auto steps = std::min<std::uint64_t>(value.at(2).get<std::uint64_t>(), mostConfigAgeSteps);
+    const auto steps = std::min<std::uint64_t>(value.at(2).get<std::uint64_t>(), maxConfigAgeSteps);
     return KnownVersions{value.at(0).get<std::uint64_t>(), value.at(1).get<std::uint64_t>(),
                          static_cast<std::int64_t>(steps) * configAgeStep, value.at(3).get<bool>()};
 }
 
 json loadOf(const HomeLoad &load)
 {
-    return json::array({load.freeSlots, load.queued, load.wait.count(), static_cast<int>(load.doubt * doubtSteps),
-                        static_cast<int>(load.slowdown * slowdownSteps), static_cast<int>(load.shedding * doubtSteps),
-                        load.slots});
+    return json::array({load.freeSlots, load.queued, load.wait.count(),
+                        static_cast<int>(load.grayProbability * probabilitySteps),
+                        static_cast<int>(load.slowdown * slowdownSteps),
+                        static_cast<int>(load.shedRate * probabilitySteps), load.slots});
 }
 
 HomeLoad loadFrom(const json &value)
@@ -191,9 +192,9 @@
     load.freeSlots = value.at(0).get<std::int32_t>();
     load.queued = value.at(1).get<std::int32_t>();
     load.wait = Millis(value.at(2).get<std::int64_t>());
-    load.doubt = value.at(3).get<int>() / doubtSteps;
+    load.grayProbability = value.at(3).get<int>() / probabilitySteps;
     load.slowdown = value.at(4).get<int>() / slowdownSteps;
-    load.shedding = value.at(5).get<int>() / doubtSteps;
+    load.shedRate = value.at(5).get<int>() / probabilitySteps;
     load.slots = value.at(6).get<std::int32_t>();
     return load;
 }
@@ -204,8 +205,8 @@
         m.response.status != HttpResponse().status || !m.response.headers.empty() || !m.response.body.empty();
     json response = hasResponse ? responseOf(m.response) : json();
     return json::array({m.id, static_cast<int>(m.outcome), m.serverFault, m.reachedServer, m.reason, m.server,
-                        m.worked.count(), loadOf(m.load), versionsOf(m.versions), std::move(response), json(m.calls),
-                        m.innerCall});
+                        m.processingTime.count(), loadOf(m.load), versionsOf(m.versions), std::move(response),
+                        json(m.calls), m.nestedCall});
 }
 
 WorkReply workReplyFrom(const json &in)
@@ -217,7 +218,7 @@
     m.reachedServer = in.at(3).get<bool>();
     m.reason = in.at(4).get<std::string>();
     m.server = in.at(5).get<std::string>();
-    m.worked = Millis(in.at(6).get<std::int64_t>());
+    m.processingTime = Millis(in.at(6).get<std::int64_t>());
     m.load = loadFrom(in.at(7));
     m.versions = versionsFrom(in.at(8));
     if (!in.at(9).is_null()) {
@@ -226,19 +227,19 @@
     if (!in.at(10).is_null()) {
         m.calls = in.at(10).get<CallRates>();
     }
-    m.innerCall = in.at(11).get<bool>();
+    m.nestedCall = in.at(11).get<bool>();
     return m;
 }
 
-json rosterEntryOf(const RosterEntry &entry)
+json registryEntryOf(const RegistryEntry &entry)
 {
     return json::array(
         {entry.id, entry.links.address, entry.links.port, entry.zone, entry.region, entry.service, entry.revision});
 }
 
-RosterEntry rosterEntryFrom(const json &value)
+RegistryEntry registryEntryFrom(const json &value)
 {
-    return RosterEntry{
+    return RegistryEntry{
         value.at(0).get<std::string>(), Endpoint{value.at(1).get<std::string>(), value.at(2).get<std::uint16_t>()},
         value.at(3).get<std::string>(), value.at(4).get<std::string>(),
         value.at(5).get<std::string>(), value.at(6).get<std::uint64_t>()};
@@ -247,21 +248,21 @@
 struct Encoder {
     json operator()(const Hello &m) const
     {
-        return with(Type::Hello, m.from.id, m.from.incarnation);
+        return makeMessage(Type::Hello, m.from.id, m.from.incarnation);
     }
     json operator()(const Exec &m) const
     {
-        return with(Type::Exec, m.id, static_cast<int>(m.stage), m.service, m.className, bytesOf(m.customer),
-                    bytesOf(m.ticket), m.remaining.count(), requestOf(m.request));
+        return makeMessage(Type::Exec, m.id, static_cast<int>(m.stage), m.service, m.className, bytesOf(m.customer),
+                           bytesOf(m.ticket), m.remaining.count(), requestOf(m.request));
     }
     json operator()(const ExecReply &m) const
     {
-        return with(Type::ExecReply, m.id, static_cast<int>(m.outcome), m.reason, m.retryAfter.count(), m.server,
-                    m.freeSlots, m.queued, responseOf(m.response));
+        return makeMessage(Type::ExecReply, m.id, static_cast<int>(m.outcome), m.reason, m.retryAfter.count(), m.server,
+                           m.freeSlots, m.queued, responseOf(m.response));
     }
     json operator()(const Cancel &m) const
     {
-        return with(Type::Cancel, m.id, m.onlyWaiting);
+        return makeMessage(Type::Cancel, m.id, m.onlyIfQueued);
     }
     json operator()(const RecordsPush &m) const
     {
@@ -269,7 +270,7 @@
         for (const Record &record : m.records) {
             records.push_back(recordOf(record));
         }
-        return with(Type::RecordsPush, std::move(records));
+        return makeMessage(Type::RecordsPush, std::move(records));
     }
     json operator()(const RecordNames &m) const
     {
@@ -277,11 +278,11 @@
         for (const RecordName &name : m.names) {
             names.push_back(nameOf(name));
         }
-        return with(Type::RecordNames, m.want, std::move(names));
+        return makeMessage(Type::RecordNames, m.want, std::move(names));
     }
     json operator()(const DigestOffer &m) const
     {
-        return with(Type::DigestOffer, json(m.hashes));
+        return makeMessage(Type::DigestOffer, json(m.hashes));
     }
     json operator()(const BucketNames &m) const
     {
@@ -293,15 +294,15 @@
             }
             buckets.push_back(json::array({bucket, std::move(list)}));
         }
-        return with(Type::BucketNames, m.answer, std::move(buckets));
+        return makeMessage(Type::BucketNames, m.answer, std::move(buckets));
     }
     json operator()(const Ping &m) const
     {
-        return with(Type::Ping, m.id);
+        return makeMessage(Type::Ping, m.id);
     }
     json operator()(const Pong &m) const
     {
-        return with(Type::Pong, m.id);
+        return makeMessage(Type::Pong, m.id);
     }
     json operator()(const ClaimHandover &m) const
     {
@@ -314,100 +315,100 @@
         for (const ClaimOwner &owner : m.owners) {
             owners.push_back(json::array({owner.ref.id, owner.ref.incarnation, owner.age.count()}));
         }
-        return with(Type::ClaimHandover, m.id, std::move(owners), std::move(claims));
+        return makeMessage(Type::ClaimHandover, m.id, std::move(owners), std::move(claims));
     }
     json operator()(const Work &m) const
     {
-        return with(Type::Work, m.id, bytesOf(m.requestId), m.service, m.route, m.idempotent, m.repeatable,
-                    m.acceptsDoubt, m.priority, m.remaining.count(), m.untilObjective.count(), m.patience.count(),
-                    m.helloAge.count(), versionsOf(m.versions), requestOf(m.request));
+        return makeMessage(Type::Work, m.id, bytesOf(m.requestId), m.service, m.route, m.idempotent, m.retryable,
+                           m.acceptsGray, m.priority, m.remaining.count(), m.untilObjective.count(),
+                           m.queueTimeout.count(), m.helloAge.count(), versionsOf(m.versions), requestOf(m.request));
     }
-    json operator()(const WorkReceipt &m) const
+    json operator()(const WorkAck &m) const
     {
-        return with(Type::WorkReceipt, m.id, versionsOf(m.versions));
+        return makeMessage(Type::WorkAck, m.id, versionsOf(m.versions));
     }
     json operator()(const WorkReply &m) const
     {
-        return with(Type::WorkReply, workReplyOf(m));
+        return makeMessage(Type::WorkReply, workReplyOf(m));
     }
     json operator()(const Fence &m) const
     {
-        return with(Type::Fence, m.id, refOf(m.target), refOf(m.origin), m.workId, m.onlyAsk, m.fetch,
-                    m.sentAgo.count());
+        return makeMessage(Type::Fence, m.id, refOf(m.target), refOf(m.origin), m.workId, m.queryOnly,
+                           m.includeLargeReply, m.workAge.count());
     }
     json operator()(const FenceReply &m) const
     {
-        return with(Type::FenceReply, m.id, static_cast<int>(m.state), m.reply ? workReplyOf(*m.reply) : json());
+        return makeMessage(Type::FenceReply, m.id, static_cast<int>(m.state), m.reply ? workReplyOf(*m.reply) : json());
     }
-    json operator()(const NewsRequest &m) const
+    json operator()(const StateUpdateRequest &m) const
     {
-        return with(Type::NewsRequest, m.id, versionsOf(m.versions), m.wantsConfig, m.wantsRoster);
+        return makeMessage(Type::StateUpdateRequest, m.id, versionsOf(m.versions), m.wantsConfig, m.wantsRegistry);
     }
-    json operator()(const News &m) const
+    json operator()(const StateUpdate &m) const
     {
-        json roster = json::array();
-        for (const RosterEntry &entry : m.roster) {
-            roster.push_back(rosterEntryOf(entry));
+        json registry = json::array();
+        for (const RegistryEntry &entry : m.registry) {
+            registry.push_back(registryEntryOf(entry));
         }
-        return with(Type::News, m.id, versionsOf(m.versions), bytesOf(m.config), std::move(roster));
+        return makeMessage(Type::StateUpdate, m.id, versionsOf(m.versions), bytesOf(m.config), std::move(registry));
     }
-    json operator()(const LendRequest &m) const
+    json operator()(const BudgetTransferRequest &m) const
     {
-        return with(Type::LendRequest, m.id, m.service, m.sends, m.lessUrgent);
+        return makeMessage(Type::BudgetTransferRequest, m.id, m.service, m.tokens, m.lowPriority);
     }
-    json operator()(const LendReply &m) const
+    json operator()(const BudgetTransferReply &m) const
     {
-        return with(Type::LendReply, m.id, m.sends);
+        return makeMessage(Type::BudgetTransferReply, m.id, m.tokens);
     }
     json operator()(const PathSuspicion &m) const
     {
-        return with(Type::PathSuspicion, m.node);
+        return makeMessage(Type::PathSuspicion, m.node);
     }
 };
 
 Work workFrom(const json &in)
 {
     Work m;
-    m.id = in.at(body).get<std::uint64_t>();
-    m.requestId = textOf(in.at(body + 1));
-    m.service = in.at(body + 2).get<std::string>();
-    m.route = in.at(body + 3).get<std::string>();
-    m.idempotent = in.at(body + 4).get<bool>();
-    m.repeatable = in.at(body + 5).get<bool>();
-    m.acceptsDoubt = in.at(body + 6).get<bool>();
-    m.priority = in.at(body + 7).get<std::uint8_t>();
-    m.remaining = Millis(in.at(body + 8).get<std::int64_t>());
-    m.untilObjective = Millis(in.at(body + 9).get<std::int64_t>());
-    m.patience = Millis(in.at(body + 10).get<std::int64_t>());
-    m.helloAge = Millis(in.at(body + 11).get<std::int64_t>());
-    m.versions = versionsFrom(in.at(body + 12));
-    m.request = requestFrom(in.at(body + 13));
+    m.id = in.at(firstField).get<std::uint64_t>();
+    m.requestId = textOf(in.at(firstField + 1));
+    m.service = in.at(firstField + 2).get<std::string>();
+    m.route = in.at(firstField + 3).get<std::string>();
+    m.idempotent = in.at(firstField + 4).get<bool>();
+    m.retryable = in.at(firstField + 5).get<bool>();
+    m.acceptsGray = in.at(firstField + 6).get<bool>();
+    m.priority = in.at(firstField + 7).get<std::uint8_t>();
+    m.remaining = Millis(in.at(firstField + 8).get<std::int64_t>());
+    m.untilObjective = Millis(in.at(firstField + 9).get<std::int64_t>());
+    m.queueTimeout = Millis(in.at(firstField + 10).get<std::int64_t>());
+    m.helloAge = Millis(in.at(firstField + 11).get<std::int64_t>());
+    m.versions = versionsFrom(in.at(firstField + 12));
+    m.request = requestFrom(in.at(firstField + 13));
     return m;
 }
 
 FenceReply fenceReplyFrom(const json &in)
 {
     FenceReply m;
-    m.id = in.at(body).get<std::uint64_t>();
-    const int state = in.at(body + 1).get<int>();
+    m.id = in.at(firstField).get<std::uint64_t>();
+    const int state = in.at(firstField + 1).get<int>();
     if (state < static_cast<int>(FenceState::NeverRuns) || state > static_cast<int>(FenceState::NotKnown)) {
         throw json::other_error::create(501, "unknown fence state", &in);
     }
     m.state = static_cast<FenceState>(state);
-    if (!in.at(body + 2).is_null()) {
-        m.reply = workReplyFrom(in.at(body + 2));
+    if (!in.at(firstField + 2).is_null()) {
+        m.reply = workReplyFrom(in.at(firstField + 2));
     }
     return m;
 }
 
-News newsFrom(const json &in)
+StateUpdate stateUpdateFrom(const json &in)
 {
-    News m;
-    m.id = in.at(body).get<std::uint64_t>();
-    m.versions = versionsFrom(in.at(body + 1));
-    m.config = textOf(in.at(body + 2));
-    for (const json &entry : in.at(body + 3)) {
-        m.roster.push_back(rosterEntryFrom(entry));
+    StateUpdate m;
+    m.id = in.at(firstField).get<std::uint64_t>();
+    m.versions = versionsFrom(in.at(firstField + 1));
+    m.config = textOf(in.at(firstField + 2));
+    for (const json &entry : in.at(firstField + 3)) {
+        m.registry.push_back(registryEntryFrom(entry));
     }
     return m;
 }
@@ -415,40 +416,40 @@
 Exec execFrom(const json &in)
 {
     Exec m;
-    m.id = in.at(body).get<std::uint64_t>();
-    const int stage = in.at(body + 1).get<int>();
+    m.id = in.at(firstField).get<std::uint64_t>();
+    const int stage = in.at(firstField + 1).get<int>();
     if (stage != static_cast<int>(ExecStage::Claim) && stage != static_cast<int>(ExecStage::Run)) {
         throw json::other_error::create(501, "unknown stage", &in);
     }
     m.stage = static_cast<ExecStage>(stage);
-    m.service = in.at(body + 2).get<std::string>();
-    m.className = in.at(body + 3).get<std::string>();
-    m.customer = textOf(in.at(body + 4));
-    m.ticket = textOf(in.at(body + 5));
-    m.remaining = Millis(in.at(body + 6).get<std::int32_t>());
-    m.request = requestFrom(in.at(body + 7));
+    m.service = in.at(firstField + 2).get<std::string>();
+    m.className = in.at(firstField + 3).get<std::string>();
+    m.customer = textOf(in.at(firstField + 4));
+    m.ticket = textOf(in.at(firstField + 5));
+    m.remaining = Millis(in.at(firstField + 6).get<std::int32_t>());
+    m.request = requestFrom(in.at(firstField + 7));
     return m;
 }
 
 ExecReply execReplyFrom(const json &in)
 {
     ExecReply m;
-    m.id = in.at(body).get<std::uint64_t>();
-    m.outcome = outcomeFrom(in.at(body + 1));
-    m.reason = in.at(body + 2).get<std::string>();
-    m.retryAfter = Millis(in.at(body + 3).get<std::int32_t>());
-    m.server = in.at(body + 4).get<std::string>();
-    m.freeSlots = in.at(body + 5).get<std::int32_t>();
-    m.queued = in.at(body + 6).get<std::int32_t>();
-    m.response = responseFrom(in.at(body + 7));
+    m.id = in.at(firstField).get<std::uint64_t>();
+    m.outcome = outcomeFrom(in.at(firstField + 1));
+    m.reason = in.at(firstField + 2).get<std::string>();
+    m.retryAfter = Millis(in.at(firstField + 3).get<std::int32_t>());
+    m.server = in.at(firstField + 4).get<std::string>();
+    m.freeSlots = in.at(firstField + 5).get<std::int32_t>();
+    m.queued = in.at(firstField + 6).get<std::int32_t>();
+    m.response = responseFrom(in.at(firstField + 7));
     return m;
 }
 
 BucketNames bucketNamesFrom(const json &in)
 {
     BucketNames m;
-    m.answer = in.at(body).get<bool>();
-    for (const json &entry : in.at(body + 1)) {
+    m.answer = in.at(firstField).get<bool>();
+    for (const json &entry : in.at(firstField + 1)) {
         const auto bucket = entry.at(0).get<std::uint32_t>();
         if (bucket >= RecordTable::bucketCount) {
             throw json::other_error::create(501, "bucket out of range", &in);
@@ -464,7 +465,7 @@
 
 DigestOffer digestFrom(const json &in)
 {
-    const json &hashes = in.at(body);
+    const json &hashes = in.at(firstField);
     if (!hashes.is_array() || hashes.size() != RecordTable::bucketCount) {
         throw json::other_error::create(501, "wrong number of buckets", &in);
     }
@@ -478,12 +479,12 @@
 ClaimHandover handoverFrom(const json &in)
 {
     ClaimHandover m;
-    m.id = in.at(body).get<std::uint64_t>();
-    for (const json &owner : in.at(body + 1)) {
+    m.id = in.at(firstField).get<std::uint64_t>();
+    for (const json &owner : in.at(firstField + 1)) {
         m.owners.push_back(ClaimOwner{{owner.at(0).get<std::string>(), owner.at(1).get<std::uint64_t>()},
                                       Millis(owner.at(2).get<std::int64_t>())});
     }
-    for (const json &claim : in.at(body + 2)) {
+    for (const json &claim : in.at(firstField + 2)) {
         m.claims.push_back(ClaimTransfer{textOf(claim.at(0)), claim.at(1).get<std::uint64_t>(),
                                          outcomeFrom(claim.at(2)), responseFrom(claim.at(3))});
     }
@@ -494,24 +495,24 @@
 {
     switch (type) {
     case Type::Hello:
-        return Hello{NodeRef{in.at(body).get<std::string>(), in.at(body + 1).get<std::uint64_t>()}};
+        return Hello{NodeRef{in.at(firstField).get<std::string>(), in.at(firstField + 1).get<std::uint64_t>()}};
     case Type::Exec:
         return execFrom(in);
     case Type::ExecReply:
         return execReplyFrom(in);
     case Type::Cancel:
-        return Cancel{in.at(body).get<std::uint64_t>(), in.at(body + 1).get<bool>()};
+        return Cancel{in.at(firstField).get<std::uint64_t>(), in.at(firstField + 1).get<bool>()};
     case Type::RecordsPush: {
         RecordsPush m;
-        for (const json &record : in.at(body)) {
+        for (const json &record : in.at(firstField)) {
             m.records.push_back(recordFrom(record));
         }
         return m;
     }
     case Type::RecordNames: {
         RecordNames m;
-        m.want = in.at(body).get<bool>();
-        for (const json &name : in.at(body + 1)) {
+        m.want = in.at(firstField).get<bool>();
+        for (const json &name : in.at(firstField + 1)) {
             m.names.push_back(nameFrom(name));
         }
         return m;
@@ -521,36 +522,39 @@
     case Type::BucketNames:
         return bucketNamesFrom(in);
     case Type::Ping:
-        return Ping{in.at(body).get<std::uint64_t>()};
+        return Ping{in.at(firstField).get<std::uint64_t>()};
     case Type::Pong:
-        return Pong{in.at(body).get<std::uint64_t>()};
+        return Pong{in.at(firstField).get<std::uint64_t>()};
     case Type::ClaimHandover:
         return handoverFrom(in);
     case Type::Work:
         return workFrom(in);
-    case Type::WorkReceipt:
-        return WorkReceipt{in.at(body).get<std::uint64_t>(), versionsFrom(in.at(body + 1))};
+    case Type::WorkAck:
+        return WorkAck{in.at(firstField).get<std::uint64_t>(), versionsFrom(in.at(firstField + 1))};
     case Type::WorkReply:
-        return workReplyFrom(in.at(body));
+        return workReplyFrom(in.at(firstField));
     case Type::Fence:
-        return Fence{
-            in.at(body).get<std::uint64_t>(),           refFrom(in.at(body + 1)),    refFrom(in.at(body + 2)),
-            in.at(body + 3).get<std::uint64_t>(),       in.at(body + 4).get<bool>(), in.at(body + 5).get<bool>(),
-            Millis(in.at(body + 6).get<std::int64_t>())};
+        return Fence{in.at(firstField).get<std::uint64_t>(),
+                     refFrom(in.at(firstField + 1)),
+                     refFrom(in.at(firstField + 2)),
+                     in.at(firstField + 3).get<std::uint64_t>(),
+                     in.at(firstField + 4).get<bool>(),
+                     in.at(firstField + 5).get<bool>(),
+                     Millis(in.at(firstField + 6).get<std::int64_t>())};
     case Type::FenceReply:
         return fenceReplyFrom(in);
-    case Type::NewsRequest:
-        return NewsRequest{in.at(body).get<std::uint64_t>(), versionsFrom(in.at(body + 1)), in.at(body + 2).get<bool>(),
-                           in.at(body + 3).get<bool>()};
-    case Type::News:
-        return newsFrom(in);
-    case Type::LendRequest:
-        return LendRequest{in.at(body).get<std::uint64_t>(), in.at(body + 1).get<std::string>(),
-                           in.at(body + 2).get<double>(), in.at(body + 3).get<bool>()};
-    case Type::LendReply:
-        return LendReply{in.at(body).get<std::uint64_t>(), in.at(body + 1).get<double>()};
+    case Type::StateUpdateRequest:
+        return StateUpdateRequest{in.at(firstField).get<std::uint64_t>(), versionsFrom(in.at(firstField + 1)),
+                                  in.at(firstField + 2).get<bool>(), in.at(firstField + 3).get<bool>()};
+    case Type::StateUpdate:
+        return stateUpdateFrom(in);
+    case Type::BudgetTransferRequest:
+        return BudgetTransferRequest{in.at(firstField).get<std::uint64_t>(), in.at(firstField + 1).get<std::string>(),
+                                     in.at(firstField + 2).get<double>(), in.at(firstField + 3).get<bool>()};
+    case Type::BudgetTransferReply:
+        return BudgetTransferReply{in.at(firstField).get<std::uint64_t>(), in.at(firstField + 1).get<double>()};
     case Type::PathSuspicion:
-        return PathSuspicion{in.at(body).get<std::string>()};
+        return PathSuspicion{in.at(firstField).get<std::string>()};
     }
     throw json::other_error::create(501, "unknown message type", &in);
 }
@@ -593,8 +597,8 @@
     if (auto *reply = std::get_if<WorkReply>(&message)) {
         return &reply->response.body;
     }
-    if (auto *fate = std::get_if<FenceReply>(&message)) {
-        return fate->reply ? &fate->reply->response.body : nullptr;
+    if (auto *fenceReply = std::get_if<FenceReply>(&message)) {
+        return fenceReply->reply ? &fenceReply->reply->response.body : nullptr;
     }
     if (auto *exec = std::get_if<Exec>(&message)) {
         return &exec->request.body;
--- a/tests/integration/BadInputTest.cpp
+++ b/tests/integration/BadInputTest.cpp
@@ -41,10 +41,10 @@
 {
     // Story: a broken client, a port scanner and a server of a newer release all talk to a node. Each gets a clear
     // error or a clean close; the requests of others go on.
-    Plan plan;
-    plan.nodes = 1;
-    plan.floor = "1 servers";
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.nodes = 1;
+    options.floor = "1 servers";
+    Fleet fleet(options);
     const std::string head = "GET /sessions/1 HTTP/1.1\r\nHost: course-desk\r\n";
     CHECK(rawExchange(fleet.callers(0), "NONSENSE\r\n\r\n").find("400") != std::string::npos);
     CHECK(rawExchange(fleet.callers(0), head + "X: " + std::string(20000, 'x') + "\r\n\r\n").find("431")
@@ -71,7 +71,7 @@
     CHECK(fleet.book(0, "bad-ticket", "wx1.what").reason == "malformed-ticket");
     CHECK(fleet.book(0, "long-key", std::string(300, 'k')).reason == "malformed-key");
     CHECK(fleet.book(0, "gone", "wx1.n7.1.1.1").outcome == "unknown");
-    const Answer deadline = fleet.send(0, HttpRequest{"GET", "/sessions/2", {{"Waxwing-Deadline-Ms", "1"}}, {}});
+    const CallResult deadline = fleet.send(0, HttpRequest{"GET", "/sessions/2", {{"Waxwing-Deadline-Ms", "1"}}, {}});
     CHECK(deadline.outcome != "ran");
 
     CHECK(fleet.node(0).running());
@@ -97,10 +97,10 @@
 
 TEST_CASE("node, settings with faults, says all of them and does not start")
 {
-    Plan plan;
-    plan.nodes = 1;
-    plan.floor = "1 servers";
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.nodes = 1;
+    options.floor = "1 servers";
+    Fleet fleet(options);
     Process node("waxwingd", {"--settings", fleet.directory() + "/missing.json"}, fleet.directory() + "/bad.log");
     CHECK(node.waitForExit() == 3);
     CHECK(node.output().find("can't be read") != std::string::npos);
--- a/tests/integration/ConfigTest.cpp
+++ b/tests/integration/ConfigTest.cpp
@@ -26,12 +26,12 @@
     Fleet fleet;
     REQUIRE(fleet.ctl({"apply", fleet.intentsFile("400ms"), "--wait"}) == 0);
     const std::uint64_t accepted = revisionAt(fleet, 0);
-    fleet.apiFault({{"outage", true}});
+    fleet.setApiFault({{"outage", true}});
     fleet.node(2).kill();
     fleet.startNode(2);
     CHECK(eventually([&] { return revisionAt(fleet, 2) == accepted; }));
     CHECK(eventually([&] { return fleet.read(2, "after-outage").outcome == "ran"; }));
-    fleet.apiFault({{"outage", false}});
+    fleet.setApiFault({{"outage", false}});
 }
 
 TEST_CASE("configuration, two operators race, one wins and the other is told what changed")
@@ -54,7 +54,7 @@
 {
     Fleet fleet;
     const std::uint64_t before = revisionAt(fleet, 0);
-    fleet.apiFault({{"loseAnswers", 1}});
+    fleet.setApiFault({{"loseAnswers", 1}});
     std::string output;
     CHECK(fleet.ctl({"apply", fleet.intentsFile("450ms"), "--wait"}, &output) == 0);
     INFO(output);
--- a/tests/integration/CrashLogTest.cpp
+++ b/tests/integration/CrashLogTest.cpp
@@ -16,6 +16,6 @@
         mesh.node(node).signal(signal);
         CHECK(mesh.node(node).waitForExit() == signal);
         const std::string word = "signal=" + std::to_string(signal);
-        CHECK(mesh.linesWith(node, {"event=process_crashed", word, "stack=0x", ",0x"}) == 1);
+        CHECK(mesh.countLogLines(node, {"event=process_crashed", word, "stack=0x", ",0x"}) == 1);
     }
 }
--- a/tests/integration/FollowerTest.cpp
+++ b/tests/integration/FollowerTest.cpp
@@ -12,11 +12,11 @@
 namespace names = platform::names;
 
 /** A region of which two nodes watch the store; the others follow them. */
-class Followers : public KnowledgeRig
+class Followers : public ConfigPropagationRig
 {
 protected:
     explicit Followers(bool proxies = false)
-        : KnowledgeRig(Plan{0, 6, proxies})
+        : ConfigPropagationRig(Options{0, 6, proxies})
     {
         REQUIRE(eventually([&] { return withRole("follower").size() == 4; }, std::chrono::seconds(10)));
     }
@@ -48,7 +48,7 @@
     {
         int calls = 0;
         for (const int node : nodes) {
-            calls += mesh_.linesWith(node, {"event=store_call", std::string("kind=") + names::configKind});
+            calls += mesh_.countLogLines(node, {"event=store_call", std::string("kind=") + names::configKind});
         }
         return calls;
     }
@@ -56,7 +56,7 @@
     void cutLinks(bool cut)
     {
         for (int node = 0; node < nodes_; ++node) {
-            mesh_.linkFault(node, {{"toTarget", {{"hold", cut}}}, {"fromTarget", {{"hold", cut}}}});
+            mesh_.setLinkFault(node, {{"toTarget", {{"hold", cut}}}, {"fromTarget", {{"hold", cut}}}});
         }
     }
 };
@@ -119,7 +119,7 @@
 // Guards against watchers that answer their followers though their own watches on the store went silent.
 TEST_CASE_FIXTURE(Followers, "followers, watches gone silent, hold the next version in time")
 {
-    mesh_.storeFault({{"deafWatches", true}});
+    mesh_.setStoreFault({{"deafWatches", true}});
     mesh_.configure(2, "archive");
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
@@ -128,9 +128,9 @@
 // never heard them.
 TEST_CASE_FIXTURE(Followers, "followers, watches cut while the store is silent, hold the next version in time")
 {
-    mesh_.storeFault({{"silent", true}, {"cutWatches", true}});
+    mesh_.setStoreFault({{"silent", true}, {"cutWatches", true}});
     pause(Millis(600));
-    mesh_.storeFault({{"silent", false}});
+    mesh_.setStoreFault({{"silent", false}});
     mesh_.configure(2, "archive");
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
--- a/tests/integration/GrayTest.cpp
+++ b/tests/integration/GrayTest.cpp
@@ -28,7 +28,7 @@
             int i = 0;
             while (!stop) {
                 ++i;
-                const Answer answer = fleet.read(client % 3, std::to_string(client) + "-" + std::to_string(i));
+                const CallResult answer = fleet.read(client % 3, std::to_string(client) + "-" + std::to_string(i));
                 ++seen[answer.outcome];
                 pause(Millis(10));
             }
@@ -46,20 +46,20 @@
     bool stop = false;
     std::map<std::string, int> seen;
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     addReaders(fleet, bodies, stop, seen);
     bool left = false;
     bool returned = false;
     bodies.emplace_back([&] {
         pause(Millis(500));
-        fleet.serverMode("s0", {{"mode", "stall"}});
+        fleet.setServerMode("s0", {{"mode", "stall"}});
         left = eventually([&] { return serverView(fleet, 0, "s0").value("phase", "") == "ejected"; });
-        fleet.serverMode("s0", {{"mode", "ok"}});
+        fleet.setServerMode("s0", {{"mode", "ok"}});
         returned = eventually([&] { return serverView(fleet, 0, "s0").value("phase", "") == "in-service"; },
                               std::chrono::seconds(20));
         stop = true;
     });
-    together(bodies);
+    runConcurrently(bodies);
     CHECK(left);
     CHECK(returned);
     CHECK(seen["ran"] > 100);
@@ -74,18 +74,18 @@
 {
     // Story: three of six servers stall at once and the floor is five. One may go; the others must stay, because an
     // enrolment desk with too few servers turns learners away. The system says that it kept them and why.
-    Plan plan;
-    plan.floor = "5 servers";
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.floor = "5 servers";
+    Fleet fleet(options);
     bool stop = false;
     int least = 6;
     std::map<std::string, int> seen;
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     addReaders(fleet, bodies, stop, seen);
     bodies.emplace_back([&] {
         for (const char *name : {"s0", "s1", "s2"}) {
-            fleet.serverMode(name, {{"mode", "stall"}});
+            fleet.setServerMode(name, {{"mode", "stall"}});
         }
         for (int i = 0; i < 50; ++i) {
             least = std::min(least, fleet.inService());
@@ -93,7 +93,7 @@
         }
         stop = true;
     });
-    together(bodies);
+    runConcurrently(bodies);
     CHECK(least >= 5);
 }
 
@@ -103,7 +103,7 @@
     // crash no server may get it; the caller is told so finally, and other callers notice nothing.
     Fleet fleet;
     const HttpRequest poison{"GET", "/sessions/ends-the-server", {}, {}};
-    Answer last;
+    CallResult last;
     for (int i = 0; i < 6; ++i) {
         last = fleet.send(i % 3, poison);
         pause(Millis(50));
@@ -124,7 +124,7 @@
 TEST_CASE("shedding server, says that it did not run the work, is not held to be sick")
 {
     Fleet fleet;
-    fleet.serverMode("s0", {{"mode", "shed"}});
+    fleet.setServerMode("s0", {{"mode", "shed"}});
     for (int i = 0; i < 60; ++i) {
         CHECK(fleet.book(0, "shed-" + std::to_string(i), "").outcome != "unknown");
     }
--- a/tests/integration/LeavingTest.cpp
+++ b/tests/integration/LeavingTest.cpp
@@ -10,19 +10,19 @@
 {
     // Story: a VM is replaced in office hours. No caller may see a cut, a booking made through it must be found again
     // through another node, and its servers must go on serving from other homes.
-    Plan plan;
-    plan.workMs = 30;
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.workMs = 30;
+    Fleet fleet(options);
     const std::string used = fleet.ticket(1);
     const std::string unused = fleet.ticket(1);
     CHECK(fleet.book(1, "before-stop", used).outcome == "ran");
     std::map<std::string, int> seen;
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     for (int i = 0; i < 120; ++i) {
         bodies.emplace_back([&, i] {
             pause(Millis(i * 10));
-            const Answer answer = fleet.read(i % 2 == 0 ? 0 : 2, "stop-" + std::to_string(i));
+            const CallResult answer = fleet.read(i % 2 == 0 ? 0 : 2, "stop-" + std::to_string(i));
             ++seen[answer.outcome + "/" + answer.reason];
         });
     }
@@ -32,7 +32,7 @@
         fleet.node(1).signal(SIGTERM);
         code = fleet.node(1).waitForExit();
     });
-    together(bodies);
+    runConcurrently(bodies);
     CHECK(code == 0);
     for (const auto &one : seen) {
         const std::string &outcome = one.first;
@@ -49,19 +49,19 @@
 
 TEST_CASE("server, draining, gets no new work within two seconds and finishes its own")
 {
-    Plan plan;
-    plan.workMs = 20;
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.workMs = 20;
+    Fleet fleet(options);
     bool stop = false;
     std::map<std::string, int> seen;
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     for (int client = 0; client < 6; ++client) {
         bodies.emplace_back([&, client] {
             int i = 0;
             while (!stop) {
                 ++i;
-                const Answer answer =
+                const CallResult answer =
                     fleet.read(client % 3, "drain-" + std::to_string(client) + "-" + std::to_string(i));
                 ++seen[answer.outcome + "/" + answer.reason];
             }
@@ -75,7 +75,7 @@
         pause(Millis(500));
         stop = true;
     });
-    together(bodies);
+    runConcurrently(bodies);
     CHECK(code == 0);
     CHECK(seen.size() == 1);
     CHECK(seen.count("ran/") == 1);
@@ -94,7 +94,7 @@
         }
     }
     for (int i = 0; i < 20; ++i) {
-        const Answer answer = fleet.read(0, "frozen-" + std::to_string(i));
+        const CallResult answer = fleet.read(0, "frozen-" + std::to_string(i));
         CHECK(answer.outcome == "ran");
         CHECK(answer.body.find("\"server\":\"s0\"") == std::string::npos);
     }
--- a/tests/integration/OldKnowledgeTest.cpp
+++ b/tests/integration/OldKnowledgeTest.cpp
@@ -11,19 +11,19 @@
 
 namespace names = platform::names;
 
-class OldKnowledge : public KnowledgeRig
+class StaleState : public ConfigPropagationRig
 {
 protected:
-    explicit OldKnowledge(int spareRoutes = 0, int nodes = 3)
-        : KnowledgeRig(Plan{spareRoutes, nodes})
+    explicit StaleState(int spareRoutes = 0, int nodes = 3)
+        : ConfigPropagationRig(Options{spareRoutes, nodes})
     { }
 };
 
-class LargeConfiguration : public OldKnowledge
+class LargeConfiguration : public StaleState
 {
 protected:
     LargeConfiguration()
-        : OldKnowledge(3000, 8)
+        : StaleState(3000, 8)
     { }
 };
 
@@ -32,26 +32,26 @@
 // Guards against a node whose processor is taken for seconds by copies of a configuration that it already has.
 TEST_CASE_FIXTURE(LargeConfiguration, "old knowledge, node started beside many peers, reads the configuration once")
 {
-    mesh_.storeFault({{"slowListMs", 800}, {"slowListKind", names::configKind}});
+    mesh_.setStoreFault({{"slowListMs", 800}, {"slowListKind", names::configKind}});
     mesh_.node(0).kill();
     mesh_.startNode(0);
     REQUIRE(eventually([&] { return mesh_.isReady(0); }));
     // Copies that peers have sent in the meantime are read by then.
     pause(Millis(1500));
-    CHECK(mesh_.linesWith(0, {"event=config_read"}) == 1);
+    CHECK(mesh_.countLogLines(0, {"event=config_read"}) == 1);
 }
 
 // Guards against a started node that is ready with an answer which waited unread while the version was replaced.
-TEST_CASE_FIXTURE(OldKnowledge, "old knowledge, node held up while it starts, is ready only with the newest version")
+TEST_CASE_FIXTURE(StaleState, "old knowledge, node held up while it starts, is ready only with the newest version")
 {
-    mesh_.storeFault({{"slowListMs", 800}, {"slowListKind", names::configKind}});
+    mesh_.setStoreFault({{"slowListMs", 800}, {"slowListKind", names::configKind}});
     mesh_.node(0).kill();
     mesh_.startNode(0);
     pause(Millis(400));
     mesh_.node(0).signal(SIGSTOP);
     pause(Millis(800));
     // The list with version 1 lies unread in the node's socket; the other nodes don't hear of version 2 from the store.
-    mesh_.storeFault({{"deafWatches", true}, {"slowMs", 300}});
+    mesh_.setStoreFault({{"deafWatches", true}, {"slowMs", 300}});
     mesh_.configure(2, "archive");
     pause(applyBound + Millis(100));
     mesh_.node(0).signal(SIGCONT);
@@ -62,39 +62,39 @@
 }
 
 // Guards against nodes that lose their watches together and wait for long on a store that never heard them.
-TEST_CASE_FIXTURE(OldKnowledge, "old knowledge, watches cut while the store is silent, hold the next version in time")
+TEST_CASE_FIXTURE(StaleState, "old knowledge, watches cut while the store is silent, hold the next version in time")
 {
-    mesh_.storeFault({{"silent", true}, {"cutWatches", true}});
+    mesh_.setStoreFault({{"silent", true}, {"cutWatches", true}});
     pause(Millis(600));
-    mesh_.storeFault({{"silent", false}});
+    mesh_.setStoreFault({{"silent", false}});
     mesh_.configure(2, "archive");
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
 // Guards against watches that all go silent without a reset, right after a change has set their waits to the same
 // start.
-TEST_CASE_FIXTURE(OldKnowledge, "old knowledge, watches gone silent, hold the next version in time")
+TEST_CASE_FIXTURE(StaleState, "old knowledge, watches gone silent, hold the next version in time")
 {
     mesh_.configure(2);
     REQUIRE(eventually([&] { return isInForce(2); }));
     pause(Millis(300));
-    mesh_.storeFault({{"deafWatches", true}});
+    mesh_.setStoreFault({{"deafWatches", true}});
     mesh_.configure(3, "archive");
     CHECK(eventually([&] { return isInForce(3); }, dueAfterDisturbance));
 }
 
 // Guards against a node that joins and gets no work because the others' watches on the roster went silent.
-TEST_CASE_FIXTURE(OldKnowledge, "old knowledge, watches gone silent, know a node that joins soon")
+TEST_CASE_FIXTURE(StaleState, "old knowledge, watches gone silent, know a node that joins soon")
 {
-    mesh_.enlist("first-to-join");
-    REQUIRE(eventually([&] { return mesh_.linesWith(0, {"event=roster_changed", "nodes=4"}) > 0; }));
+    mesh_.addRegistryEntry("first-to-join");
+    REQUIRE(eventually([&] { return mesh_.countLogLines(0, {"event=roster_changed", "nodes=4"}) > 0; }));
     pause(Millis(600));
-    mesh_.storeFault({{"deafWatches", true}});
-    mesh_.enlist("second-to-join");
+    mesh_.setStoreFault({{"deafWatches", true}});
+    mesh_.addRegistryEntry("second-to-join");
     for (int node = 0; node < 3; ++node) {
         CHECK(eventually(
             [&] {
-                return mesh_.linesWith(node, {"event=roster_changed", "nodes=5"}) > 0;
+                return mesh_.countLogLines(node, {"event=roster_changed", "nodes=5"}) > 0;
             },
             2 * dueAfterDisturbance));
     }
@@ -103,21 +103,21 @@
 // Guards against a home that has forgotten a booking and says for that reason that it never runs: it would run twice.
 TEST_CASE("old knowledge, home that has forgotten a booking, does not say that it never runs")
 {
-    MeshPlan plan;
-    plan.services = {"other", "desk", "other"};
-    plan.proxies = true;
-    plan.timeoutMs = 20000;
-    Mesh mesh(plan);
-    mesh.linkFault(1, {{"fromTarget", {{"hold", true}}}});
+    MeshOptions options;
+    options.services = {"other", "desk", "other"};
+    options.proxies = true;
+    options.timeoutMs = 20000;
+    Mesh mesh(options);
+    mesh.setLinkFault(1, {{"fromTarget", {{"hold", true}}}});
     unsigned status = 0;
-    together({[&] {
-                  const auto answer = mesh.send(0, "forgotten", "/seats/1", std::chrono::seconds(17));
-                  status = answer ? answer->status : 0;
-              },
-              [&] {
-                  pause(std::chrono::seconds(14));
-                  mesh.linkFault(1, {{"fromTarget", {{"hold", false}}}, {"reset", true}});
-              }});
+    runConcurrently({[&] {
+                         const auto answer = mesh.send(0, "forgotten", "/seats/1", std::chrono::seconds(17));
+                         status = answer ? answer->status : 0;
+                     },
+                     [&] {
+                         pause(std::chrono::seconds(14));
+                         mesh.setLinkFault(1, {{"fromTarget", {{"hold", false}}}, {"reset", true}});
+                     }});
     CHECK(mesh.executions()["forgotten"] == 1);
     CHECK((status == 502 || status == 504));
 }
--- a/tests/integration/PairsTest.cpp
+++ b/tests/integration/PairsTest.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 /** Bookings that are sent again through other nodes until their outcome is known, while @p faults happen. */
-void bookThrough(Fleet &fleet, const std::string &name, const std::function<void()> &faults)
+void bookDuringFaults(Fleet &fleet, const std::string &name, const std::function<void()> &faults)
 {
     constexpr int bookings = 36;
     constexpr int attempts = 5;
     std::map<std::string, std::string> told;
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     for (int i = 0; i < bookings; ++i) {
         bodies.emplace_back([&, i] {
             pause(Millis(i * 30));
             const std::string id = name + "-" + std::to_string(i);
             const std::string key = i % 3 == 2 ? "own-" + id : fleet.ticket(i % 3);
             for (int attempt = 0; attempt < attempts && !key.empty(); ++attempt) {
-                const Answer answer = fleet.book((i + attempt) % 3, id, key);
+                const CallResult answer = fleet.book((i + attempt) % 3, id, key);
                 // No answer at all may mean anything, so it leaves what was told before.
                 told[id] = answer.outcome.empty() ? "unknown" : answer.outcome;
                 if (answer.outcome == "ran") {
@@ -33,7 +33,7 @@
         });
     }
     bodies.emplace_back(faults);
-    together(bodies);
+    runConcurrently(bodies);
     const std::map<std::string, int> executions = fleet.executions();
     int ran = 0;
     for (const auto &entry : told) {
@@ -54,26 +54,26 @@
 {
     // Story: the store is away and, in the same minute, a VM is lost with bookings under way. Callers resend through
     // the other nodes; there is no store to ask and no owner left for some tickets.
-    Plan plan;
-    plan.workMs = 40;
-    Fleet fleet(plan);
-    bookThrough(fleet, "away-kill", [&] {
+    FleetOptions options;
+    options.workMs = 40;
+    Fleet fleet(options);
+    bookDuringFaults(fleet, "away-kill", [&] {
         pause(Millis(250));
-        fleet.apiFault({{"outage", true}});
+        fleet.setApiFault({{"outage", true}});
         pause(Millis(250));
         fleet.node(2).kill();
         pause(Millis(800));
-        fleet.apiFault({{"outage", false}});
+        fleet.setApiFault({{"outage", false}});
     });
 }
 
 TEST_CASE("bookings, a home frozen and a server killed, none runs twice")
 {
     // Story: a node is paused while one of its servers dies, and wakes with old requests in its sockets.
-    Plan plan;
-    plan.workMs = 40;
-    Fleet fleet(plan);
-    bookThrough(fleet, "freeze-kill", [&] {
+    FleetOptions options;
+    options.workMs = 40;
+    Fleet fleet(options);
+    bookDuringFaults(fleet, "freeze-kill", [&] {
         pause(Millis(300));
         fleet.node(1).signal(SIGSTOP);
         fleet.server("s1").kill();
@@ -86,17 +86,17 @@
 TEST_CASE("bookings, a one-way cut and a planned stop, none runs twice")
 {
     // Story: node 0 can't be heard by the others while node 2 is stopped for replacement and hands over its claims.
-    Plan plan;
-    plan.workMs = 40;
-    plan.proxies = true;
-    Fleet fleet(plan);
-    bookThrough(fleet, "cut-stop", [&] {
+    FleetOptions options;
+    options.workMs = 40;
+    options.proxies = true;
+    Fleet fleet(options);
+    bookDuringFaults(fleet, "cut-stop", [&] {
         pause(Millis(300));
-        fleet.proxyFault(0, {{"fromTarget", {{"hold", true}}}});
+        fleet.setProxyFault(0, {{"fromTarget", {{"hold", true}}}});
         pause(Millis(200));
         fleet.node(2).signal(SIGTERM);
         pause(Millis(1500));
-        fleet.proxyFault(0, {{"fromTarget", {{"hold", false}}}});
+        fleet.setProxyFault(0, {{"fromTarget", {{"hold", false}}}});
         CHECK(fleet.node(2).waitForExit() == 0);
     });
 }
@@ -105,14 +105,14 @@
 {
     // Story: a home reaches its server and the server's answers don't come back, while its announcements do. What was
     // handed over has run; nobody may be told that it has not, and readers must not wait for it.
-    Plan plan;
-    plan.proxyServer = true;
-    Fleet fleet(plan);
-    fleet.serverFault({{"fromTarget", {{"hold", true}}}});
+    FleetOptions options;
+    options.proxyServer = true;
+    Fleet fleet(options);
+    fleet.setServerFault({{"fromTarget", {{"hold", true}}}});
     int unknown = 0;
     for (int i = 0; i < 4; ++i) {
         const std::string id = "cut-server-" + std::to_string(i);
-        const Answer answer = fleet.book(0, id, fleet.ticket(0));
+        const CallResult answer = fleet.book(0, id, fleet.ticket(0));
         const int count = fleet.executions()[id];
         CHECK(count == 1);
         CHECK(answer.outcome != "not-run");
@@ -122,5 +122,5 @@
     for (int i = 0; i < 20; ++i) {
         CHECK(fleet.read(0, "beside-cut-" + std::to_string(i)).outcome == "ran");
     }
-    fleet.serverFault({{"fromTarget", {{"hold", false}}}});
+    fleet.setServerFault({{"fromTarget", {{"hold", false}}}});
 }
--- a/tests/integration/PipelineTest.cpp
+++ b/tests/integration/PipelineTest.cpp
@@ -47,12 +47,12 @@
         mostAtOnce = std::max(mostAtOnce, ++running);
         const Millis length = std::stoi(request.target.substr(1)) * unit;
         boost::asio::steady_timer timer(loopContext(), length);
-        watch->onGone = [this, &timer] {
+        watch->onDisconnect = [this, &timer] {
             ++gone;
             timer.cancel();
         };
         await([&](auto done) { timer.async_wait(std::move(done)); });
-        watch->onGone = {};
+        watch->onDisconnect = {};
         --running;
         HttpReply reply;
         reply.response.body = "<" + request.target + ">" + std::string(bodyBytes, 'x');
--- a/tests/integration/RepeatTest.cpp
+++ b/tests/integration/RepeatTest.cpp
@@ -13,12 +13,12 @@
 {
 protected:
     OnlyHome()
-        : mesh_(plan())
+        : mesh_(options())
     { }
 
-    static MeshPlan plan()
+    static MeshOptions options()
     {
-        MeshPlan out;
+        MeshOptions out;
         out.services = {"other", "desk", "other"};
         out.proxies = true;
         out.workMs = 300;
@@ -27,7 +27,7 @@
 
     int repeatsAllowed() const
     {
-        return mesh_.linesWith(0, {"event=second_send", "allowed=yes"});
+        return mesh_.countLogLines(0, {"event=second_send", "allowed=yes"});
     }
 
     Mesh mesh_;
@@ -38,11 +38,11 @@
 // Guards against a failed look-up that spends the fleet's budget of second sends though no other home can take it.
 TEST_CASE_FIXTURE(OnlyHome, "repeat, look-up that fails at the only home, asks for one second send at most")
 {
-    mesh_.serverMode(1, {{"mode", "unsigned"}, {"workMs", 20}});
+    mesh_.setServerMode(1, {{"mode", "unsigned"}, {"workMs", 20}});
     const auto answer = mesh_.send(0, "fails", "/dates/1");
     REQUIRE(answer);
     CHECK(answer->status == 502);
-    REQUIRE(eventually([&] { return mesh_.linesWith(0, {"event=answered", "request=fails"}) == 1; }));
+    REQUIRE(eventually([&] { return mesh_.countLogLines(0, {"event=answered", "request=fails"}) == 1; }));
     CHECK(repeatsAllowed() <= 1);
 }
 
@@ -50,16 +50,16 @@
 TEST_CASE_FIXTURE(OnlyHome, "repeat, answer held up by a cut that heals in time, reaches the caller")
 {
     unsigned status = 0;
-    together({[&] {
-                  const auto answer = mesh_.send(0, "held-up", "/dates/1");
-                  status = answer ? answer->status : 0;
-              },
-              [&] {
-                  pause(Millis(150));
-                  mesh_.linkFault(1, {{"fromTarget", {{"hold", true}}}});
-                  pause(Millis(2000));
-                  mesh_.linkFault(1, {{"fromTarget", {{"hold", false}}}});
-              }});
+    runConcurrently({[&] {
+                         const auto answer = mesh_.send(0, "held-up", "/dates/1");
+                         status = answer ? answer->status : 0;
+                     },
+                     [&] {
+                         pause(Millis(150));
+                         mesh_.setLinkFault(1, {{"fromTarget", {{"hold", true}}}});
+                         pause(Millis(2000));
+                         mesh_.setLinkFault(1, {{"fromTarget", {{"hold", false}}}});
+                     }});
     CHECK(status == 200);
     CHECK(mesh_.executions()["held-up"] == 1);
 }
--- a/tests/integration/SidecarTest.cpp
+++ b/tests/integration/SidecarTest.cpp
@@ -45,7 +45,7 @@
     Mesh mesh;
     for (const char *mode : {"cut", "reset", "unsigned", "other-id"}) {
         for (int server = 0; server < 3; ++server) {
-            mesh.serverMode(server, {{"mode", mode}, {"workMs", 30}});
+            mesh.setServerMode(server, {{"mode", mode}, {"workMs", 30}});
         }
         const std::string request = std::string("garbage-") + mode;
         const auto answer = mesh.send(0, request, "/seats/1");
@@ -59,7 +59,7 @@
     // One records server answers 500 at once while its health is good. An inspector's look-up must not notice; of the
     // bookings at most the first one may be lost, since it can't be tried again.
     Mesh mesh;
-    mesh.serverMode(0, {{"mode", "errors"}});
+    mesh.setServerMode(0, {{"mode", "errors"}});
     int lost = 0;
     for (int i = 0; i < 10; ++i) {
         CHECK(statusOf(mesh.send(0, id("look", i), "/dates/1")) == 200);
@@ -86,21 +86,21 @@
     // An open link goes silent without a reset, while new connections work. A booking that was sent over it gets no
     // receipt; over a fresh link the sender learns that it never ran, forbids it and books again. When the old link
     // delivers its bytes two seconds later the first booking must not run: the firm would be billed twice.
-    MeshPlan plan;
-    plan.services = {"other", "desk", "other"};
-    plan.proxies = true;
-    Mesh mesh(plan);
-    mesh.linkFault(1, {{"silenceOpen", true}});
+    MeshOptions options;
+    options.services = {"other", "desk", "other"};
+    options.proxies = true;
+    Mesh mesh(options);
+    mesh.setLinkFault(1, {{"silenceOpen", true}});
     std::vector<unsigned> statuses(6);
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     for (int i = 0; i < 6; ++i) {
         bodies.emplace_back(
             [&, i] { statuses[static_cast<std::size_t>(i)] = statusOf(mesh.send(0, id("cut", i), "/seats/1")); });
     }
-    together(bodies);
+    runConcurrently(bodies);
     pause(Millis(2000));
-    mesh.linkFault(1, {{"silenceOpen", false}});
+    mesh.setLinkFault(1, {{"silenceOpen", false}});
     pause(Millis(1000));
     auto executions = mesh.executions();
     for (int i = 0; i < 6; ++i) {
@@ -115,14 +115,14 @@
     // A VM was lost without a word. What became of a booking under way to it can't be known, and its sender asks until
     // the booking's time is over. Only then did it hold the path to be bad: all bookings that it sent there in these
     // two seconds were lost as well, though the first missing receipt had shown the silence after 0.15 s.
-    MeshPlan plan;
-    plan.services = {"other", "desk", "desk"};
-    plan.proxies = true;
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.services = {"other", "desk", "desk"};
+    options.proxies = true;
+    Mesh mesh(options);
     for (int i = 0; i < 8; ++i) {
         REQUIRE(statusOf(mesh.send(0, id("before", i), "/seats/1")) == 200);
     }
-    mesh.linkFault(1, {{"toTarget", {{"hold", true}}}});
+    mesh.setLinkFault(1, {{"toTarget", {{"hold", true}}}});
     constexpr int bookings = 14;
     std::vector<unsigned> statuses(bookings);
     std::vector<std::function<void()>> bodies;
@@ -133,10 +133,10 @@
             statuses[static_cast<std::size_t>(i)] = statusOf(mesh.send(0, id("gone", i), "/seats/1"));
         });
     }
-    together(bodies);
+    runConcurrently(bodies);
     const auto lost = std::count_if(statuses.begin(), statuses.end(), [](unsigned status) { return status != 200; });
     CHECK(lost <= 3);
-    mesh.linkFault(1, {{"toTarget", {{"hold", false}}}});
+    mesh.setLinkFault(1, {{"toTarget", {{"hold", false}}}});
     pause(Millis(500));
     for (const auto &[request, count] : mesh.executions()) {
         CHECK(count <= 1);
@@ -147,15 +147,15 @@
 {
     // A fleet of a hundred nodes lost sixteen VMs at once. Each of the others found out for itself, by a booking that
     // it lost there: hundreds of bookings whose fate nobody knew, for sixteen facts that the first senders had known.
-    MeshPlan plan;
-    plan.services = {"other", "other", "desk", "desk"};
-    plan.proxies = true;
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.services = {"other", "other", "desk", "desk"};
+    options.proxies = true;
+    Mesh mesh(options);
     for (int i = 0; i < 6; ++i) {
         REQUIRE(statusOf(mesh.send(0, id("warm", i), "/dates/1")) == 200);
         REQUIRE(statusOf(mesh.send(1, id("warmed", i), "/dates/1")) == 200);
     }
-    mesh.linkFault(2, {{"toTarget", {{"hold", true}}}});
+    mesh.setLinkFault(2, {{"toTarget", {{"hold", true}}}});
     int sent = 0;
     REQUIRE(eventually([&] {
         std::vector<std::function<void()>> bodies;
@@ -164,7 +164,7 @@
         for (int i = 0; i < atOnce; ++i) {
             bodies.emplace_back([&mesh, number = ++sent] { mesh.send(0, id("first", number), "/dates/1"); });
         }
-        together(bodies);
+        runConcurrently(bodies);
         return mesh.log(0).find("event=path_failed") != std::string::npos;
     }));
     REQUIRE(eventually([&] { return mesh.log(1).find("event=path_failed") != std::string::npos; }));
@@ -175,21 +175,21 @@
 
 TEST_CASE("mesh, home cut off from every other node, is told as unknown or not run and nothing runs twice")
 {
-    MeshPlan plan;
-    plan.services = {"other", "desk", "desk"};
-    plan.proxies = true;
-    Mesh mesh(plan);
-    mesh.linkFault(1, {{"toTarget", {{"hold", true}}}});
+    MeshOptions options;
+    options.services = {"other", "desk", "desk"};
+    options.proxies = true;
+    Mesh mesh(options);
+    mesh.setLinkFault(1, {{"toTarget", {{"hold", true}}}});
     std::vector<unsigned> statuses(6);
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     for (int i = 0; i < 6; ++i) {
         bodies.emplace_back(
             [&, i] { statuses[static_cast<std::size_t>(i)] = statusOf(mesh.send(0, id("off", i), "/seats/1")); });
     }
-    together(bodies);
+    runConcurrently(bodies);
     pause(Millis(1500));
-    mesh.linkFault(1, {{"toTarget", {{"hold", false}}}});
+    mesh.setLinkFault(1, {{"toTarget", {{"hold", false}}}});
     pause(Millis(1000));
     auto executions = mesh.executions();
     for (int i = 0; i < 6; ++i) {
@@ -206,28 +206,28 @@
 {
     // The home runs a booking and its answer is held up by a cut in that direction. The caller must get it all the
     // same: a 504 would leave an office manager not knowing whether the seat is taken.
-    MeshPlan plan;
-    plan.services = {"other", "desk", "other"};
-    plan.proxies = true;
-    plan.workMs = 300;
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.services = {"other", "desk", "other"};
+    options.proxies = true;
+    options.workMs = 300;
+    Mesh mesh(options);
     unsigned status = 0;
-    together({[&] { status = statusOf(mesh.send(0, "lost-answer", "/seats/1")); },
-              [&] {
-                  pause(Millis(150));
-                  mesh.linkFault(1, {{"fromTarget", {{"hold", true}}}});
-                  pause(Millis(300));
-                  mesh.linkFault(1, {{"reset", true}, {"fromTarget", {{"hold", false}}}});
-              }});
+    runConcurrently({[&] { status = statusOf(mesh.send(0, "lost-answer", "/seats/1")); },
+                     [&] {
+                         pause(Millis(150));
+                         mesh.setLinkFault(1, {{"fromTarget", {{"hold", true}}}});
+                         pause(Millis(300));
+                         mesh.setLinkFault(1, {{"reset", true}, {"fromTarget", {{"hold", false}}}});
+                     }});
     CHECK(status == 200);
     CHECK(mesh.executions()["lost-answer"] == 1);
 }
 
 TEST_CASE("mesh, new configuration, is followed everywhere and never goes back")
 {
-    MeshPlan plan;
-    plan.services = {"desk", "desk", "spare"};
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.services = {"desk", "desk", "spare"};
+    Mesh mesh(options);
     mesh.configure(7, "spare");
     CHECK(eventually(
         [&] {
@@ -244,7 +244,7 @@
 TEST_CASE("mesh, node restarted while the store is away, learns the configuration from the others and serves")
 {
     Mesh mesh;
-    mesh.storeFault({{"outage", true}});
+    mesh.setStoreFault({{"outage", true}});
     mesh.node(1).kill();
     mesh.startNode(1);
     CHECK(eventually(
@@ -259,13 +259,13 @@
 
 TEST_CASE("mesh, node told to stop, finishes what it has read and says first that it goes")
 {
-    MeshPlan plan;
-    plan.workMs = 400;
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.workMs = 400;
+    Mesh mesh(options);
     std::vector<unsigned> statuses(4);
     bool notReady = false;
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     for (int i = 0; i < 4; ++i) {
         bodies.emplace_back(
             [&, i] { statuses[static_cast<std::size_t>(i)] = statusOf(mesh.send(1, id("stop", i), "/seats/1")); });
@@ -276,7 +276,7 @@
         pause(Millis(100));
         notReady = !mesh.isReady(1);
     });
-    together(bodies);
+    runConcurrently(bodies);
     for (const unsigned status : statuses) {
         CHECK(status == 200);
     }
@@ -288,16 +288,16 @@
 {
     // The service's only server is busy for longer than the stop may take. Bookings that wait for it through the
     // stopping node ended with a closed connection: an office did not know whether it had its seat.
-    MeshPlan plan;
-    plan.services = {"other", "desk", "other"};
-    plan.timeoutMs = 10000;
-    plan.graceSeconds = 4;
-    Mesh mesh(plan);
-    mesh.serverMode(1, {{"workMs", 6000}});
+    MeshOptions options;
+    options.services = {"other", "desk", "other"};
+    options.timeoutMs = 10000;
+    options.graceSeconds = 4;
+    Mesh mesh(options);
+    mesh.setServerMode(1, {{"workMs", 6000}});
     constexpr int slots = 3;
     std::vector<unsigned> statuses(2UL * slots);
     std::vector<std::function<void()>> bodies;
-    bodies.reserve(mostBodies);
+    bodies.reserve(maxTasks);
     for (int i = 0; i < 2 * slots; ++i) {
         bodies.emplace_back([&, i] {
             pause(i < slots ? Millis(0) : Millis(300));
@@ -309,7 +309,7 @@
         pause(Millis(800));
         mesh.node(0).signal(SIGTERM);
     });
-    together(bodies);
+    runConcurrently(bodies);
     auto executions = mesh.executions();
     for (int i = 0; i < 2 * slots; ++i) {
         const bool ran = executions[id("late-stop", i)] > 0;
@@ -322,11 +322,11 @@
 {
     // Two look-ups on one connection. The first meets a server that takes longer than the stop may, the second is
     // answered at once; its answer must not be lost with the connection.
-    MeshPlan plan;
-    plan.services = {"other", "desk", "other"};
-    plan.timeoutMs = 10000;
-    plan.graceSeconds = 4;
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.services = {"other", "desk", "other"};
+    options.timeoutMs = 10000;
+    options.graceSeconds = 4;
+    Mesh mesh(options);
     const auto lookUp = [](const std::string &name) {
         return "GET /dates/1 HTTP/1.1\r\nHost: desk.example\r\n" + std::string(names::requestId) + ": " + name + "\r\n"
                + names::timeoutMs + ": 9000\r\n\r\n";
@@ -338,8 +338,8 @@
             REQUIRE(eventually([&] { return mesh.executions()["slow-one"] == 1; }));
             mesh.node(0).signal(SIGTERM);
         }};
-    mesh.serverMode(1, {{"workMs", 6000}, {"onlyFirst", true}});
-    together(bodies);
+    mesh.setServerMode(1, {{"workMs", 6000}, {"onlyFirst", true}});
+    runConcurrently(bodies);
     CHECK(answers.find("HTTP/1.1 50") < answers.find("whole answer to ready-one"));
     CHECK(answers.find("whole answer to ready-one") != std::string::npos);
 }
@@ -364,12 +364,12 @@
 
 TEST_CASE("mesh, caller that leaves, has its look-up stopped and its slot freed")
 {
-    MeshPlan plan;
-    plan.services = {"desk"};
-    plan.workMs = 50;
-    Mesh mesh(plan);
-    mesh.serverMode(0, {{"workMs", 2500}});
-    together({[&] {
+    MeshOptions options;
+    options.services = {"desk"};
+    options.workMs = 50;
+    Mesh mesh(options);
+    mesh.setServerMode(0, {{"workMs", 2500}});
+    runConcurrently({[&] {
         mesh.sendRaw(0, "GET /dates/1 HTTP/1.1\r\nHost: desk.example\r\n" + std::string(names::requestId)
                             + ": gone\r\n\r\n");
     }});
@@ -378,9 +378,9 @@
 
 TEST_CASE("callers' port, requests that two readers could understand differently, are refused and not run")
 {
-    MeshPlan plan;
-    plan.services = {"desk"};
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.services = {"desk"};
+    Mesh mesh(options);
     const std::string idLine = std::string(names::requestId) + ": smuggled\r\n";
     const auto refused = [&](const std::string &bytes) {
         return mesh.sendRaw(0, bytes).compare(0, 12, "HTTP/1.1 400") == 0;
@@ -396,9 +396,9 @@
 
 TEST_CASE("callers' port, absolute target and Expect, are served like any request")
 {
-    MeshPlan plan;
-    plan.services = {"desk"};
-    Mesh mesh(plan);
+    MeshOptions options;
+    options.services = {"desk"};
+    Mesh mesh(options);
     const std::string idLine = std::string(names::requestId) + ": usual\r\n";
     const std::string absolute = mesh.sendRaw(
         0, "GET http://desk.example/dates/1 HTTP/1.1\r\nHost: ignored\r\nConnection: close\r\n" + idLine + "\r\n");
--- a/tests/integration/SuspensionTest.cpp
+++ b/tests/integration/SuspensionTest.cpp
@@ -15,12 +15,12 @@
 {
 protected:
     Suspension()
-        : mesh_(plan())
+        : mesh_(options())
     { }
 
-    static MeshPlan plan()
+    static MeshOptions options()
     {
-        MeshPlan out;
+        MeshOptions out;
         out.services = {"other", "desk", "other"};
         out.proxies = true;
         return out;
@@ -36,19 +36,19 @@
 TEST_CASE_FIXTURE(Suspension, "suspension, home that leaves the roster while its path is tried, does not end the node")
 {
     for (int round = 0; round < rounds; ++round) {
-        mesh_.linkFault(1, {{"fromTarget", {{"hold", true}}}});
-        together({[&] { mesh_.send(0, "round-" + std::to_string(round), "/dates/1", Millis(900)); },
-                  [&] {
-                      // The first receipt is missed after 150 ms; the question that follows waits as long.
-                      pause(Millis(180 + round * 10));
-                      mesh_.delist("n1");
-                      pause(Millis(20));
-                      mesh_.linkFault(1, {{"fromTarget", {{"hold", false}}}});
-                  }});
+        mesh_.setLinkFault(1, {{"fromTarget", {{"hold", true}}}});
+        runConcurrently({[&] { mesh_.send(0, "round-" + std::to_string(round), "/dates/1", Millis(900)); },
+                         [&] {
+                             // The first receipt is missed after 150 ms; the question that follows waits as long.
+                             pause(Millis(180 + round * 10));
+                             mesh_.removeRegistryEntry("n1");
+                             pause(Millis(20));
+                             mesh_.setLinkFault(1, {{"fromTarget", {{"hold", false}}}});
+                         }});
         const std::string log = mesh_.log(0);
         const std::string end = log.substr(log.size() - std::min<std::size_t>(log.size(), 1500));
         CAPTURE(end);
         REQUIRE(mesh_.node(0).running());
-        REQUIRE(eventually([&] { return mesh_.settled(); }));
+        REQUIRE(eventually([&] { return mesh_.allServing(); }));
     }
 }
--- a/tests/integration/UpgradeTest.cpp
+++ b/tests/integration/UpgradeTest.cpp
@@ -19,12 +19,12 @@
 {
 protected:
     FleetUpgrade()
-        : fleet_(plan())
+        : fleet_(options())
     { }
 
-    static Plan plan()
+    static FleetOptions options()
     {
-        Plan out;
+        FleetOptions out;
         out.upgrade = true;
         out.serversPerNode = serverCount / nodeCount;
         return out;
@@ -49,12 +49,12 @@
 {
 protected:
     MeshUpgrade()
-        : mesh_(plan())
+        : mesh_(options())
     { }
 
-    static MeshPlan plan()
+    static MeshOptions options()
     {
-        MeshPlan out;
+        MeshOptions out;
         out.upgrade = true;
         return out;
     }
@@ -124,11 +124,11 @@
             REQUIRE(mesh_.node(node).waitForExit() == 0);
         }
         mesh_.startNode(node);
-        REQUIRE(eventually([this] { return mesh_.settled(); }, std::chrono::seconds(20)));
+        REQUIRE(eventually([this] { return mesh_.allServing(); }, std::chrono::seconds(20)));
         serveAt("after-" + std::to_string(node) + "-");
     }
     mesh_.configure(2);
     for (int node = 0; node < nodeCount; ++node) {
-        CHECK(eventually([&] { return mesh_.linesWith(node, {"event=config_in_force", "version=2"}) == 1; }));
+        CHECK(eventually([&] { return mesh_.countLogLines(node, {"event=config_in_force", "version=2"}) == 1; }));
     }
 }
--- a/tests/standins/backend.cpp
+++ b/tests/standins/backend.cpp
@@ -198,9 +198,9 @@
         }
         // Cancellation: the caller closed its connection, and the slot is free again.
         boost::asio::steady_timer timer(ioContext_, length);
-        caller->onGone = [&timer] { timer.cancel(); };
+        caller->onDisconnect = [&timer] { timer.cancel(); };
         await([&](auto handle) { timer.async_wait(std::move(handle)); });
-        caller->onGone = {};
+        caller->onDisconnect = {};
         --running_;
         return answer(request, hit);
     }
@@ -216,7 +216,7 @@
         if (hit && mode_.name == "errors") {
             reply.response.status = 500;
         } else if (hit && mode_.name == "cut") {
-            reply.after = AfterResponse::CutBody;
+            reply.after = AfterResponse::TruncateBody;
         } else if (hit && mode_.name == "reset") {
             reply.after = AfterResponse::Reset;
         }
--- a/tests/standins/objectapi.cpp
+++ b/tests/standins/objectapi.cpp
@@ -17,7 +17,7 @@
 using namespace waxwing;
 using nlohmann::json;
 
-constexpr std::size_t mostValueBytes = 1000000;
+constexpr std::size_t maxValueBytes = 1000000;
 
 struct Object {
     std::string kind;
@@ -54,7 +54,7 @@
 
 /** A watch that waits for a change. */
 struct Waiter {
-    FiberGate gate;
+    FiberLatch latch;
     bool cut = false;
     /** Its connection has gone silent: it is never answered. */
     bool deaf = false;
@@ -107,7 +107,7 @@
             return HttpReply{{}, AfterResponse::Reset};
         }
         if (faults_.silent) {
-            waitForEver();
+            blockForever();
         }
         if (faults_.slowMs > 0) {
             sleepFor(ioContext_, Millis(faults_.slowMs));
@@ -149,7 +149,7 @@
         faults_.slowMs = body.value("slowMs", faults_.slowMs);
         faults_.loseAnswers = body.value("loseAnswers", faults_.loseAnswers);
         if (body.value("forgetHistory", false)) {
-            forgottenBefore_ = revision_;
+            compactedBefore_ = revision_;
         }
         for (const auto &waiter : waiting_) {
             waiter->cut = waiter->cut || body.value("cutWatches", false);
@@ -161,9 +161,9 @@
         return reply(200, json::object());
     }
 
-    static void waitForEver()
+    static void blockForever()
     {
-        FiberGate never;
+        FiberLatch never;
         never.wait();
     }
 
@@ -173,12 +173,12 @@
         const auto waiter = std::make_shared<Waiter>();
         waiting_.push_back(waiter);
         boost::asio::steady_timer timer(ioContext_, allowed);
-        timer.async_wait([waiter](boost::system::error_code) { waiter->gate.open(); });
-        waiter->gate.wait();
+        timer.async_wait([waiter](boost::system::error_code) { waiter->latch.release(); });
+        waiter->latch.wait();
         timer.cancel();
         waiting_.remove(waiter);
         if (waiter->deaf) {
-            waitForEver();
+            blockForever();
         }
         return waiter->cut;
     }
@@ -198,7 +198,7 @@
         const auto wait = target.query.find("wait_ms");
         const std::uint64_t from = since == target.query.end() ? 0 : std::stoull(since->second);
         const std::int64_t waitMs = wait == target.query.end() ? 0 : std::stoll(wait->second);
-        if (from > 0 && from < forgottenBefore_) {
+        if (from > 0 && from < compactedBefore_) {
             return reply(410, {{"error", "history gone"}});
         }
         if (from > 0 && waitMs > 0 && !changedSince(target.kind, from)) {
@@ -249,7 +249,7 @@
         if (!metadata.is_object() || !body.contains("spec")) {
             return reply(400, {{"error", "metadata and spec are needed"}});
         }
-        if (text.size() > mostValueBytes) {
+        if (text.size() > maxValueBytes) {
             return reply(413, {{"error", "value too large"}});
         }
         const std::string name = target.name.empty() ? metadata.value("name", "") : target.name;
@@ -291,7 +291,7 @@
     void wakeAll()
     {
         for (const auto &waiter : waiting_) {
-            waiter->gate.open();
+            waiter->latch.release();
         }
     }
 
@@ -302,7 +302,7 @@
     Faults faults_;
     std::uint64_t revision_ = 1;
     /** Watches from before this revision are told that the history is gone. */
-    std::uint64_t forgottenBefore_ = 0;
+    std::uint64_t compactedBefore_ = 0;
 };
 
 } // namespace
--- a/tests/standins/sidecarserver.cpp
+++ b/tests/standins/sidecarserver.cpp
@@ -18,8 +18,8 @@
 namespace names = platform::names;
 
 constexpr Millis heartbeatTimeout{1000};
-const std::string poisonMark = "ends-the-server";
-constexpr Millis dyingTime{20};
+const std::string poisonMarker = "ends-the-server";
+constexpr Millis crashDelay{20};
 
 struct Options {
     std::string service;
@@ -27,7 +27,7 @@
     std::string ledger;
     Endpoint control;
     Millis work{20};
-    Millis heartbeatEvery{300};
+    Millis heartbeatInterval{300};
     std::uint32_t slots = 3;
 };
 
@@ -38,7 +38,7 @@
         : ioContext_(ioContext)
         , client_(ioContext)
         , options_(std::move(options))
-        , born_(std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch()).count())
+        , startedAt_(std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch()).count())
         , ledger_(options_.ledger, std::ios::app)
     { }
 
@@ -57,19 +57,19 @@
     void heartbeatLoop(std::uint16_t port)
     {
         port_ = port;
-        while (!gone_) {
+        while (!stopping_) {
             heartbeat("ready");
-            sleepFor(ioContext_, options_.heartbeatEvery);
+            sleepFor(ioContext_, options_.heartbeatInterval);
         }
     }
 
     /** Drains as the platform has it: says so, serves on for a while, says farewell. */
     void stop()
     {
-        gone_ = true;
+        stopping_ = true;
         heartbeat("draining");
         sleepFor(ioContext_, Millis(300));
-        call(names::leaveCall, json{{"born", born_}});
+        call(names::leaveCall, json{{"born", startedAt_}});
     }
 
 private:
@@ -96,7 +96,7 @@
                                         {"state", state},
                                         {"cold_remaining_ms", 0},
                                         {"sequence", ++sequence_},
-                                        {"born", born_}});
+                                        {"born", startedAt_}});
     }
 
     HttpReply work(const HttpRequest &request, const CallerWatchPtr &caller)
@@ -111,10 +111,10 @@
         HttpReply reply{jsonResponse(200, "whole answer to " + id), AfterResponse::KeepOpen};
         reply.response.headers.emplace_back(names::signature, "seal-" + options_.id);
         reply.response.headers.emplace_back(names::requestId, id);
-        if (request.target.find(poisonMark) != std::string::npos) {
+        if (request.target.find(poisonMarker) != std::string::npos) {
             // A process that ends closes its sockets one after the other: the connection first, then the listener.
             spawnFiber([this] {
-                sleepFor(ioContext_, dyingTime);
+                sleepFor(ioContext_, crashDelay);
                 std::_Exit(9);
             });
             reply.after = AfterResponse::Reset;
@@ -126,12 +126,12 @@
         }
         ++running_;
         boost::asio::steady_timer timer(ioContext_, length);
-        caller->onGone = [&timer] { timer.cancel(); };
+        caller->onDisconnect = [&timer] { timer.cancel(); };
         await([&](auto handle) { timer.async_wait(std::move(handle)); });
-        caller->onGone = {};
+        caller->onDisconnect = {};
         --running_;
         if (mode == "cut") {
-            reply.after = AfterResponse::CutBody;
+            reply.after = AfterResponse::TruncateBody;
         } else if (mode == "reset") {
             reply.after = AfterResponse::Reset;
         } else if (mode == "unsigned") {
@@ -145,13 +145,13 @@
     boost::asio::io_context &ioContext_;
     HttpClient client_;
     Options options_;
-    std::int64_t born_;
+    std::int64_t startedAt_;
     std::ofstream ledger_;
     json mode_;
     std::uint64_t sequence_ = 0;
     std::uint16_t port_ = 0;
     std::uint32_t running_ = 0;
-    bool gone_ = false;
+    bool stopping_ = false;
 };
 
 } // namespace
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 /** A fleet that can't be set up is no result of a test: it ends with what was missing. */
-void must(bool done, const std::string &what)
+void require(bool done, const std::string &what)
 {
     if (!done) {
         throw std::runtime_error("test fleet: " + what);
@@ -108,7 +108,7 @@
     return true;
 }
 
-void together(const std::vector<std::function<void()>> &bodies)
+void runConcurrently(const std::vector<std::function<void()>> &bodies)
 {
     std::size_t left = bodies.size();
     for (const auto &body : bodies) {
@@ -170,7 +170,7 @@
     return contents(log_);
 }
 
-std::uint16_t Process::printed(const std::string &name)
+std::uint16_t Process::waitForPrintedNumber(const std::string &name)
 {
     const std::string mark = name + "=";
     std::size_t at = std::string::npos;
@@ -180,44 +180,44 @@
         at = text.find("\n" + mark);
         return at != std::string::npos && text.find('\n', at + 1) != std::string::npos;
     });
-    must(at != std::string::npos, "at != std::string::npos");
+    require(at != std::string::npos, "at != std::string::npos");
     return static_cast<std::uint16_t>(std::stoi(text.substr(at + 1 + mark.size())));
 }
 
-Fleet::Fleet(Plan plan)
-    : plan_(std::move(plan))
+Fleet::Fleet(FleetOptions options)
+    : options_(std::move(options))
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "waxwing-test-XXXXXX").string();
-    must(mkdtemp(pattern.data()) != nullptr, "mkdtemp(pattern.data()) != nullptr");
+    require(mkdtemp(pattern.data()) != nullptr, "mkdtemp(pattern.data()) != nullptr");
     directory_ = pattern;
     apiProcess_ = std::make_unique<Process>("tests/standins/standin-objectapi", std::vector<std::string>{},
                                             directory_ + "/api.log");
-    api_ = Endpoint{"127.0.0.1", apiProcess_->printed("port")};
-    for (int i = 0; i < plan_.nodes; ++i) {
+    api_ = Endpoint{"127.0.0.1", apiProcess_->waitForPrintedNumber("port")};
+    for (int i = 0; i < options_.nodes; ++i) {
         callers_.push_back(freeEndpoint());
         operators_.push_back(freeEndpoint());
         peers_.push_back(freeEndpoint());
-        if (plan_.proxies) {
+        if (options_.proxies) {
             proxies_.push_back(std::make_unique<Process>("tests/standins/standin-faultproxy",
                                                          std::vector<std::string>{"--target", peers_.back().text()},
                                                          directory_ + "/proxy" + std::to_string(i) + ".log"));
-            proxyEndpoints_.push_back(Endpoint{"127.0.0.1", proxies_.back()->printed("port")});
-            proxyControls_.push_back(Endpoint{"127.0.0.1", proxies_.back()->printed("control")});
+            proxyEndpoints_.push_back(Endpoint{"127.0.0.1", proxies_.back()->waitForPrintedNumber("port")});
+            proxyControls_.push_back(Endpoint{"127.0.0.1", proxies_.back()->waitForPrintedNumber("control")});
         }
     }
-    for (int i = 0; i < plan_.nodes; ++i) {
+    for (int i = 0; i < options_.nodes; ++i) {
         startNode(i);
     }
     // A server that finds no listener yet would announce itself to the next home, and tests count on theirs.
-    for (int i = 0; i < plan_.nodes; ++i) {
-        must(eventually([this, i] { return view(i, "/v1/status").is_object(); }), "every node answers");
+    for (int i = 0; i < options_.nodes; ++i) {
+        require(eventually([this, i] { return view(i, "/v1/status").is_object(); }), "every node answers");
     }
-    for (int i = 0; i < plan_.nodes * plan_.serversPerNode; ++i) {
-        const auto kind = static_cast<std::size_t>(i / plan_.nodes) % plan_.services.size();
-        startServer("s" + std::to_string(i), i % plan_.nodes, plan_.services[kind]);
+    for (int i = 0; i < options_.nodes * options_.serversPerNode; ++i) {
+        const auto kind = static_cast<std::size_t>(i / options_.nodes) % options_.services.size();
+        startServer("s" + std::to_string(i), i % options_.nodes, options_.services[kind]);
     }
     applyIntents();
-    must(eventually([this] { return settled(); }, std::chrono::seconds(30)), "every node knows every server");
+    require(eventually([this] { return converged(); }, std::chrono::seconds(30)), "every node knows every server");
 }
 
 Fleet::~Fleet()
@@ -238,15 +238,15 @@
     json settings = {
         {"node", "n" + std::to_string(index)},
         {"zone", "z" + std::to_string(index)},
-        {"region", index * plan_.regions / plan_.nodes == 0 ? "palermo" : "catania"},
+        {"region", index * options_.regions / options_.nodes == 0 ? "palermo" : "catania"},
         {"listen", {{"callers", callers_[i].text()}, {"peers", peers_[i].text()}, {"operators", operators_[i].text()}}},
         {"objectApi", api_.text()},
         {"seeds", json::array()},
-        {"times", {{"ramp", plan_.ramp}, {"firstEjection", "2s"}, {"antiEntropy", "1s"}}}};
+        {"times", {{"ramp", options_.ramp}, {"firstEjection", "2s"}, {"antiEntropy", "1s"}}}};
     for (std::size_t other = 0; other < peers_.size(); ++other) {
-        settings["seeds"].push_back((plan_.proxies ? proxyEndpoints_[other] : peers_[other]).text());
+        settings["seeds"].push_back((options_.proxies ? proxyEndpoints_[other] : peers_[other]).text());
     }
-    if (plan_.proxies) {
+    if (options_.proxies) {
         settings["listen"]["advertisedPeers"] = proxyEndpoints_[i].text();
     }
     std::string path = directory_ + "/n" + std::to_string(index) + ".json";
@@ -258,7 +258,7 @@
 {
     nodes_[index].reset();
     nodes_[index] = std::make_unique<Process>(
-        nodeProgram(index, plan_.upgrade, starts_[index]++),
+        nodeProgram(index, options_.upgrade, starts_[index]++),
         std::vector<std::string>{"--settings", settingsFile(index)},
         directory_ + "/n" + std::to_string(index) + "-"
             + std::to_string(std::chrono::steady_clock::now().time_since_epoch().count()) + ".log");
@@ -267,23 +267,23 @@
 void Fleet::startServer(const std::string &name, int home, const std::string &service)
 {
     std::string homes = operators(home).text();
-    for (int i = 0; i < plan_.nodes; ++i) {
-        homes += "," + operators((home + i) % plan_.nodes).text();
+    for (int i = 0; i < options_.nodes; ++i) {
+        homes += "," + operators((home + i) % options_.nodes).text();
     }
     std::vector<std::string> arguments = {"--service", service,
                                           "--name",    name,
                                           "--homes",   homes,
                                           "--ledger",  directory_ + "/ledger." + name,
-                                          "--work-ms", std::to_string(plan_.workMs),
-                                          "--slots",   std::to_string(plan_.slots)};
-    if (plan_.proxyServer && name == "s0") {
+                                          "--work-ms", std::to_string(options_.workMs),
+                                          "--slots",   std::to_string(options_.slots)};
+    if (options_.proxyServer && name == "s0") {
         const Endpoint own = freeEndpoint();
         serverProxy_ =
             std::make_unique<Process>("tests/standins/standin-faultproxy",
                                       std::vector<std::string>{"--target", own.text()}, directory_ + "/proxy-s0.log");
-        serverProxyControl_ = Endpoint{"127.0.0.1", serverProxy_->printed("control")};
+        serverProxyControl_ = Endpoint{"127.0.0.1", serverProxy_->waitForPrintedNumber("control")};
         arguments.insert(arguments.end(), {"--port", std::to_string(own.port), "--announced-port",
-                                           std::to_string(serverProxy_->printed("port"))});
+                                           std::to_string(serverProxy_->waitForPrintedNumber("port"))});
     }
     servers_[name].reset();
     servers_[name] =
@@ -309,26 +309,26 @@
     return names;
 }
 
-void Fleet::serverMode(const std::string &name, const json &mode)
+void Fleet::setServerMode(const std::string &name, const json &mode)
 {
-    const json answer = post(Endpoint{"127.0.0.1", server(name).printed("port")}, "/_mode", mode);
-    must(answer.is_object(), "answer.is_object()");
+    const json answer = post(Endpoint{"127.0.0.1", server(name).waitForPrintedNumber("port")}, "/_mode", mode);
+    require(answer.is_object(), "answer.is_object()");
 }
 
-void Fleet::apiFault(const json &fault)
+void Fleet::setApiFault(const json &fault)
 {
-    must(post(api_, "/_fault", fault).is_object(), "post(api_, '/_fault', fault).is_object()");
+    require(post(api_, "/_fault", fault).is_object(), "post(api_, '/_fault', fault).is_object()");
 }
 
-void Fleet::serverFault(const json &fault)
+void Fleet::setServerFault(const json &fault)
 {
-    must(post(serverProxyControl_, "/_fault", fault).is_object(), "fault on the way to s0");
+    require(post(serverProxyControl_, "/_fault", fault).is_object(), "fault on the way to s0");
 }
 
-void Fleet::proxyFault(int node, const json &fault)
+void Fleet::setProxyFault(int node, const json &fault)
 {
-    must(post(proxyControls_.at(static_cast<std::size_t>(node)), "/_fault", fault).is_object(),
-         "post(proxyControls_.at(static_cast<std::size_t>(node)), '/_f");
+    require(post(proxyControls_.at(static_cast<std::size_t>(node)), "/_fault", fault).is_object(),
+            "post(proxyControls_.at(static_cast<std::size_t>(node)), '/_f");
 }
 
 json Fleet::view(int node, const std::string &target)
@@ -348,14 +348,14 @@
     return ObjectApi(*loop().client, api_).update(kind, name, version, value.dump()).kind == UpdateResult::Kind::Stored;
 }
 
-Answer Fleet::send(int node, const HttpRequest &request, Millis allowed)
+CallResult Fleet::send(int node, const HttpRequest &request, Millis allowed)
 {
     HttpRequest addressed = request;
     if (headerValue(request.headers, "Host").empty()) {
-        addressed.headers.emplace_back("Host", plan_.services.front());
+        addressed.headers.emplace_back("Host", options_.services.front());
     }
     const auto got = loop().client->exchange(callers(node), addressed, allowed);
-    Answer answer;
+    CallResult answer;
     if (!got) {
         answer.reason = exchangeFailureName(got.error().failure);
         return answer;
@@ -368,12 +368,12 @@
     return answer;
 }
 
-Answer Fleet::read(int node, const std::string &id)
+CallResult Fleet::read(int node, const std::string &id)
 {
     return send(node, HttpRequest{"GET", "/sessions/" + id, {{"X-Request-Id", id}}, {}});
 }
 
-Answer Fleet::book(int node, const std::string &id, const std::string &key, const std::string &body)
+CallResult Fleet::book(int node, const std::string &id, const std::string &key, const std::string &body)
 {
     HttpRequest request{"POST", "/bookings", {{"X-Request-Id", id}}, body};
     if (!key.empty()) {
@@ -408,12 +408,12 @@
                     {"idempotent", idempotent},
                     {"responseTime", responseTime},
                     {"successRate", "99.5%"},
-                    {"healthyCapacityFloor", plan_.floor},
-                    {"ejection", plan_.ejection},
+                    {"healthyCapacityFloor", options_.floor},
+                    {"ejection", options_.ejection},
                     {"deadline", "3s"}};
     };
     json document = {{"services", json::object()}};
-    for (const std::string &service : plan_.services) {
+    for (const std::string &service : options_.services) {
         document["services"][service]["classes"] = {{"calendar", classOf("GET", "/sessions", true)},
                                                     {"booking", classOf("POST", "/bookings", false)}};
     }
@@ -430,7 +430,7 @@
             return ctl({"apply", intentsFile(), "--wait"}, &output) == 0;
         },
         std::chrono::seconds(20));
-    must(applied, "intents in force: " + output);
+    require(applied, "intents in force: " + output);
 }
 
 std::map<std::string, int> Fleet::executions() const
@@ -451,7 +451,7 @@
 int Fleet::inService()
 {
     int total = 0;
-    for (int i = 0; i < plan_.nodes; ++i) {
+    for (int i = 0; i < options_.nodes; ++i) {
         const json status = view(i, "/v1/status");
         if (status.is_object()) {
             for (const json &home : status["homeOf"]) {
@@ -462,9 +462,9 @@
     return total;
 }
 
-bool Fleet::settled()
+bool Fleet::converged()
 {
-    for (int i = 0; i < plan_.nodes; ++i) {
+    for (int i = 0; i < options_.nodes; ++i) {
         const json nodes = view(i, "/v1/nodes");
         int homes = 0;
         for (const json &node : nodes.is_array() ? nodes : json::array()) {
@@ -472,9 +472,9 @@
             for (const json &count : node["services"]) {
                 here += count.get<int>();
             }
-            homes += node.value("state", "") == "up" && here == plan_.serversPerNode ? 1 : 0;
+            homes += node.value("state", "") == "up" && here == options_.serversPerNode ? 1 : 0;
         }
-        if (homes != plan_.nodes) {
+        if (homes != options_.nodes) {
             return false;
         }
     }
@@ -506,9 +506,9 @@
     return directory_;
 }
 
-const Plan &Fleet::plan() const
+const FleetOptions &Fleet::options() const
 {
-    return plan_;
+    return options_;
 }
 
 } // namespace waxwing::testing
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -23,7 +23,7 @@
 /** Polls until @p done or @p within has passed; returns whether it was done. */
 bool eventually(const std::function<bool()> &done, Millis within = std::chrono::seconds(10));
 /** Runs the bodies as fibers and returns when all have ended. */
-void together(const std::vector<std::function<void()>> &bodies);
+void runConcurrently(const std::vector<std::function<void()>> &bodies);
 
 /** The test thread's loop and client. @pre setUpLoop() was called. */
 boost::asio::io_context &loopContext();
@@ -46,7 +46,7 @@
     int waitForExit(Millis within = std::chrono::seconds(25));
     bool running();
     /** The number printed as "name=number", waited for. */
-    std::uint16_t printed(const std::string &name);
+    std::uint16_t waitForPrintedNumber(const std::string &name);
     std::string output() const;
 
 private:
@@ -61,10 +61,10 @@
  */
 std::string nodeProgram(int node, bool upgrade, int earlierStarts);
 
-/** Room for the bodies that a test hands to together(). */
-constexpr std::size_t mostBodies = 128;
+/** Room for the bodies that a test hands to runConcurrently(). */
+constexpr std::size_t maxTasks = 128;
 
-struct Answer {
+struct CallResult {
     unsigned status = 0;
     std::string outcome;
     std::string reason;
@@ -73,7 +73,7 @@
 };
 
 /** What a test wants running. */
-struct Plan {
+struct FleetOptions {
     int nodes = 3;
     int serversPerNode = 2;
     std::string floor = "3 servers";
@@ -96,7 +96,7 @@
 class Fleet
 {
 public:
-    explicit Fleet(Plan plan = {});
+    explicit Fleet(FleetOptions options = {});
     ~Fleet();
     Fleet(const Fleet &) = delete;
     Fleet &operator=(const Fleet &) = delete;
@@ -107,21 +107,21 @@
     Process &server(const std::string &name);
     std::vector<std::string> serverNames() const;
     /** Sets how real work of a server fails, as in {"mode":"stall"}. */
-    void serverMode(const std::string &name, const nlohmann::json &mode);
-    void apiFault(const nlohmann::json &fault);
+    void setServerMode(const std::string &name, const nlohmann::json &mode);
+    void setApiFault(const nlohmann::json &fault);
     /** Sets faults on the way to server s0. @pre Plan::proxyServer. */
-    void serverFault(const nlohmann::json &fault);
+    void setServerFault(const nlohmann::json &fault);
     /** Sets faults on the way to a node's peer port. @pre Plan::proxies. */
-    void proxyFault(int node, const nlohmann::json &fault);
+    void setProxyFault(int node, const nlohmann::json &fault);
     nlohmann::json view(int node, const std::string &target);
     nlohmann::json apiStats();
     /** Writes an object past the command line's checks. */
     bool writeObject(const std::string &kind, const std::string &name, std::uint64_t version,
                      const nlohmann::json &value);
 
-    Answer send(int node, const HttpRequest &request, Millis allowed = std::chrono::seconds(8));
-    Answer read(int node, const std::string &id);
-    Answer book(int node, const std::string &id, const std::string &key, const std::string &body = "seat");
+    CallResult send(int node, const HttpRequest &request, Millis allowed = std::chrono::seconds(8));
+    CallResult read(int node, const std::string &id);
+    CallResult book(int node, const std::string &id, const std::string &key, const std::string &body = "seat");
     std::string ticket(int node);
     /** waxwingctl with these words; its exit code, with the output in @p output. */
     int ctl(const std::vector<std::string> &words, std::string *output = nullptr, int node = 0);
@@ -132,19 +132,19 @@
     std::map<std::string, int> executions() const;
     /** Servers in service, over all nodes that answer. */
     int inService();
-    bool settled();
+    bool converged();
 
     Endpoint callers(int node) const;
     Endpoint operators(int node) const;
     Endpoint peers(int node) const;
     Endpoint api() const;
     std::string directory() const;
-    const Plan &plan() const;
+    const FleetOptions &options() const;
 
 private:
     std::string settingsFile(int node);
 
-    Plan plan_;
+    FleetOptions options_;
     std::string directory_;
     std::vector<Endpoint> callers_;
     std::vector<Endpoint> operators_;
--- a/tests/support/HomeFleetModel.cpp
+++ b/tests/support/HomeFleetModel.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis learning = std::chrono::seconds(6);
+constexpr Millis warmUp = std::chrono::seconds(6);
 constexpr Millis oneWay{2};
 constexpr Millis pollEvery{10};
 constexpr Millis objective{1000};
@@ -40,8 +40,8 @@
     , policy_(policy)
     , random_(seed)
     , now_(std::chrono::hours(1))
-    , burstFrom_(now_ + learning)
-    , end_(burstFrom_ + load.burstLasts)
+    , burstFrom_(now_ + warmUp)
+    , end_(burstFrom_ + load.burstDuration)
     , homes_(static_cast<std::size_t>(load.homes))
 {
     for (int i = 0; i < load.homes; ++i) {
@@ -55,21 +55,21 @@
     }
 }
 
-HomeFleetOutcome HomeFleetModel::play()
+HomeFleetOutcome HomeFleetModel::run()
 {
     scheduleArrival();
     while (!events_.empty()) {
         const Event event = events_.top();
         events_.pop();
         now_ = event.at;
-        event.run();
+        event.action();
     }
     return outcome_;
 }
 
-void HomeFleetModel::at(SteadyTime when, std::function<void()> run)
+void HomeFleetModel::at(SteadyTime when, std::function<void()> action)
 {
-    events_.push(Event{when, nextOrder_++, std::move(run)});
+    events_.push(Event{when, nextOrder_++, std::move(action)});
 }
 
 double HomeFleetModel::chance()
@@ -101,15 +101,15 @@
     request->deadline = now_ + deadline;
     request->work = Millis(static_cast<std::int64_t>(boost::random::uniform_real_distribution<double>(0.5, 1.5)(random_)
                                                      * static_cast<double>(load_.meanWork.count())));
-    request->counts = isBurst();
-    outcome_.requests += request->counts ? 1 : 0;
+    request->counted = isBurst();
+    outcome_.requests += request->counted ? 1 : 0;
     place(request);
     scheduleArrival();
 }
 
 void HomeFleetModel::place(const RequestPtr &request)
 {
-    const int home = request->search.mayGoOn() && now_ < request->deadline ? chooseHome(*request) : -1;
+    const int home = request->search.canContinue() && now_ < request->deadline ? chooseHome(*request) : -1;
     if (home < 0) {
         finish(request, false);
         return;
@@ -122,13 +122,13 @@
 
 int HomeFleetModel::chooseHome(Request &request)
 {
-    request.patience = request.deadline - now_;
+    request.queueTimeout = request.deadline - now_;
     switch (policy_) {
     case HomePolicy::Product:
         return chooseByRanking(request);
     case HomePolicy::Random:
         return static_cast<int>(chance() * load_.homes);
-    case HomePolicy::Omniscient:
+    case HomePolicy::Oracle:
         break;
     }
     return chooseFirstFree(request);
@@ -136,18 +136,18 @@
 
 int HomeFleetModel::chooseByRanking(Request &request)
 {
-    HomeNeed need;
+    HomeQuery need;
     need.priority = priority;
     need.untilObjective = std::chrono::duration_cast<Millis>(request.objective - now_);
     need.untilDeadline = std::chrono::duration_cast<Millis>(request.deadline - now_);
-    need.work = load_.meanWork;
-    need.settles = request.search.settles();
+    need.workTime = load_.meanWork;
+    need.mustQueue = request.search.mustQueue();
     const HomeChoice choice =
         rankings_[static_cast<std::size_t>(request.sender)].choose(ranked_, request.search.excluded(), need, now_);
     if (choice.node.empty()) {
         return -1;
     }
-    request.patience = choice.patience;
+    request.queueTimeout = choice.queueTimeout;
     const auto found =
         std::find_if(ranked_.begin(), ranked_.end(), [&](const RankedHome &home) { return home.node == choice.node; });
     return static_cast<int>(found - ranked_.begin());
@@ -170,18 +170,18 @@
 void HomeFleetModel::submit(int home, const RequestPtr &request)
 {
     Home &there = homes_[static_cast<std::size_t>(home)];
-    SlotRequest asked;
-    asked.id = request->id;
-    asked.route = route;
-    asked.priority = priority;
-    asked.objective = request->objective;
-    asked.deadline = request->deadline;
-    asked.patience = std::chrono::duration_cast<Millis>(request->patience);
-    const SlotDecision decision = there.queue.submit(asked, now_);
-    there.here[request->id] = request;
-    if (decision.verdict == SlotVerdict::Start) {
+    SlotRequest slotRequest;
+    slotRequest.id = request->id;
+    slotRequest.route = route;
+    slotRequest.priority = priority;
+    slotRequest.objective = request->objective;
+    slotRequest.deadline = request->deadline;
+    slotRequest.queueTimeout = std::chrono::duration_cast<Millis>(request->queueTimeout);
+    const SlotDecision decision = there.queue.submit(slotRequest, now_);
+    there.active[request->id] = request;
+    if (decision.action == SlotAction::Start) {
         begin(home, request);
-    } else if (decision.verdict == SlotVerdict::Refused) {
+    } else if (decision.action == SlotAction::Refuse) {
         refuse(home, request);
     } else {
         schedulePoll(home);
@@ -191,12 +191,12 @@
 void HomeFleetModel::schedulePoll(int home)
 {
     Home &there = homes_[static_cast<std::size_t>(home)];
-    if (there.pollIsDue || there.queue.waiting() == 0) {
+    if (there.pollScheduled || there.queue.waiting() == 0) {
         return;
     }
-    there.pollIsDue = true;
+    there.pollScheduled = true;
     at(now_ + pollEvery, [this, home] {
-        homes_[static_cast<std::size_t>(home)].pollIsDue = false;
+        homes_[static_cast<std::size_t>(home)].pollScheduled = false;
         poll(home);
     });
 }
@@ -207,7 +207,7 @@
         Home &there = homes_[static_cast<std::size_t>(home)];
         there.queue.addResult(route, false, request->work, now_);
         there.queue.release(request->id, now_);
-        there.here.erase(request->id);
+        there.active.erase(request->id);
         const HomeLoad load = there.queue.load(priority, now_);
         at(now_ + oneWay, [this, request, load] {
             HomeRanking &ranking = rankings_[static_cast<std::size_t>(request->sender)];
@@ -222,12 +222,12 @@
 void HomeFleetModel::poll(int home)
 {
     Home &there = homes_[static_cast<std::size_t>(home)];
-    const SlotQueue::Due due = there.queue.poll(now_);
+    const SlotQueue::PollResult due = there.queue.poll(now_);
     for (const std::uint64_t id : due.start) {
-        begin(home, there.here.at(id));
+        begin(home, there.active.at(id));
     }
     for (const std::uint64_t id : due.expired) {
-        refuse(home, RequestPtr(there.here.at(id)));
+        refuse(home, RequestPtr(there.active.at(id)));
     }
     schedulePoll(home);
 }
@@ -235,7 +235,7 @@
 void HomeFleetModel::refuse(int home, const RequestPtr &request)
 {
     Home &there = homes_[static_cast<std::size_t>(home)];
-    there.here.erase(request->id);
+    there.active.erase(request->id);
     const HomeLoad load = there.queue.load(priority, now_);
     at(now_ + oneWay, [this, request, load] {
         HomeRanking &ranking = rankings_[static_cast<std::size_t>(request->sender)];
@@ -248,7 +248,7 @@
 
 void HomeFleetModel::finish(const RequestPtr &request, bool served)
 {
-    if (!request->counts) {
+    if (!request->counted) {
         return;
     }
     outcome_.refused += served ? 0 : 1;
--- a/tests/support/HomeFleetModel.h
+++ b/tests/support/HomeFleetModel.h
@@ -22,7 +22,7 @@
     /** Any home, where it waits for as long as its caller does. */
     Random,
     /** The home that will be free first, by every work time and queue: nobody can know that. */
-    Omniscient,
+    Oracle,
 };
 
 /** A service and its callers. */
@@ -34,7 +34,7 @@
     double requestsPerSecond = 0.0;
     /** This many times as many requests for a while, after a time to learn. */
     double burst = 1.0;
-    Millis burstLasts{0};
+    Millis burstDuration{0};
 };
 
 struct HomeFleetOutcome {
@@ -56,7 +56,7 @@
 public:
     HomeFleetModel(const HomeFleetLoad &load, HomePolicy policy, std::uint32_t seed);
     /** Plays the load to its end; counts the requests that came while the burst lasted. */
-    HomeFleetOutcome play();
+    HomeFleetOutcome run();
 
 private:
     struct Request {
@@ -65,28 +65,28 @@
         SteadyTime objective;
         SteadyTime deadline;
         Millis work{0};
-        bool counts = false;
+        bool counted = false;
         HomeSearch search;
         std::string home;
-        Duration patience{0};
+        Duration queueTimeout{0};
     };
     using RequestPtr = std::shared_ptr<Request>;
     struct Home {
         SlotQueue queue;
-        std::map<std::uint64_t, RequestPtr> here;
+        std::map<std::uint64_t, RequestPtr> active;
         /** For the omniscient policy: when each slot is free by what was given to it. */
         std::vector<SteadyTime> freeAt;
-        bool pollIsDue = false;
+        bool pollScheduled = false;
     };
     struct Event {
         SteadyTime at;
         std::uint64_t order = 0;
-        std::function<void()> run;
+        std::function<void()> action;
 
         bool operator<(const Event &other) const;
     };
 
-    void at(SteadyTime when, std::function<void()> run);
+    void at(SteadyTime when, std::function<void()> action);
     void scheduleArrival();
     void arrive();
     void place(const RequestPtr &request);
--- a/tests/support/HomeRig.cpp
+++ b/tests/support/HomeRig.cpp
@@ -12,7 +12,7 @@
 const std::string className = "reading";
 const std::string writeClass = "writing";
 
-ServiceIntent intentOf(const RigPlan &plan)
+ServiceIntent intentOf(const RigOptions &options)
 {
     ServiceIntent intent;
     intent.service = "rig";
@@ -20,26 +20,27 @@
         ClassIntent one;
         one.name = name;
         one.idempotent = name == className;
-        one.responseTime = plan.responseTime;
-        one.deadline = plan.deadline;
-        one.floor = plan.floor;
-        one.care = plan.care;
+        one.responseTime = options.responseTime;
+        one.deadline = options.deadline;
+        one.floor = options.floor;
+        one.policy = options.policy;
         intent.classes.push_back(one);
     }
     return intent;
 }
 
-DetectorFactory detectorsOf(const RigPlan &plan)
+DetectorFactory detectorsOf(const RigOptions &options)
 {
-    return plan.detectors ? plan.detectors : [](EjectionCare care) { return std::make_unique<CusumDetector>(care); };
+    return options.detectors ? options.detectors
+                             : [](EjectionPolicy policy) { return std::make_unique<CusumDetector>(policy); };
 }
 
-HomeTuning tuningOf(const RigPlan &plan)
+HomeTuning tuningOf(const RigOptions &options)
 {
     HomeTuning tuning;
-    tuning.slowClassShare = plan.slowClassShare;
-    tuning.queuePerClass = plan.queuePerClass;
-    tuning.refuseEarly = plan.refuseEarly;
+    tuning.slowClassShare = options.slowClassShare;
+    tuning.queuePerClass = options.queuePerClass;
+    tuning.refuseEarly = options.refuseEarly;
     return tuning;
 }
 
@@ -57,15 +58,16 @@
     }
 }
 
-HomeRig::HomeRig(RigPlan plan)
-    : plan_(std::move(plan))
-    , random_(plan_.seed)
-    , home_("rig", NodeRef{"n", 1}, tuningOf(plan_), detectorsOf(plan_), [](const NodeRef &) { return std::nullopt; })
+HomeRig::HomeRig(RigOptions options)
+    : options_(std::move(options))
+    , random_(options_.seed)
+    , home_("rig", NodeRef{"n", 1}, tuningOf(options_), detectorsOf(options_),
+            [](const NodeRef &) { return std::nullopt; })
     , start_(clock_.now())
-    , least_(static_cast<std::uint32_t>(plan_.servers))
+    , minInService_(static_cast<std::uint32_t>(options_.servers))
 {
-    home_.setIntent(intentOf(plan_));
-    for (int i = 0; i < plan_.servers; ++i) {
+    home_.setIntent(intentOf(options_));
+    for (int i = 0; i < options_.servers; ++i) {
         const std::string name = "s" + std::to_string(i);
         servers_[name] = FakeServer{};
         home_.announce(announcementOf(name), clock_.now());
@@ -84,7 +86,7 @@
     announcement.incarnation = servers_.at(name).incarnation;
     announcement.address = "127.0.0.1";
     announcement.port = 1;
-    announcement.slots = plan_.slots;
+    announcement.slots = options_.slots;
     announcement.state = servers_.at(name).state;
     return announcement;
 }
@@ -114,22 +116,22 @@
 
 bool HomeRig::isBad(const FakeServer &server) const
 {
-    const bool flapping = server.flapEvery > Millis(0);
-    const bool outNow = flapping && ((clock_.now() - start_) / server.flapEvery) % 2 == 1;
-    return server.stallShare > 0.0 || server.errorShare > 0.0 || server.slowFactor > 1.0 || outNow;
+    const bool flapping = server.flapPeriod > Millis(0);
+    const bool isDown = flapping && ((clock_.now() - start_) / server.flapPeriod) % 2 == 1;
+    return server.stallShare > 0.0 || server.errorShare > 0.0 || server.slowFactor > 1.0 || isDown;
 }
 
 void HomeRig::arrive()
 {
-    std::exponential_distribution<double> gap(plan_.rate);
+    std::exponential_distribution<double> gap(options_.rate);
     schedule(clock_.now() + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random_))),
              [this] { arrive(); });
     const std::uint64_t id = nextId_++;
     Request request;
-    request.idempotent = std::uniform_real_distribution<double>(0.0, 1.0)(random_) < plan_.idempotentShare;
-    request.asked.id = id;
-    request.asked.className = request.idempotent ? className : writeClass;
-    request.asked.deadline = clock_.now() + plan_.deadline;
+    request.idempotent = std::uniform_real_distribution<double>(0.0, 1.0)(random_) < options_.idempotentShare;
+    request.homeRequest.id = id;
+    request.homeRequest.className = request.idempotent ? className : writeClass;
+    request.homeRequest.deadline = clock_.now() + options_.deadline;
     request.arrived = clock_.now();
     budget_.noteAttempt();
     requests_[id] = request;
@@ -138,7 +140,7 @@
 
 void HomeRig::submit(std::uint64_t id)
 {
-    const Admission admission = home_.submit(requests_[id].asked, clock_.now());
+    const Admission admission = home_.submit(requests_[id].homeRequest, clock_.now());
     switch (admission.kind) {
     case Admission::Kind::Assigned:
         begin(id, admission.server);
@@ -163,18 +165,18 @@
     ++startedAt[name];
     const FakeServer &server = servers_[name];
     std::uniform_real_distribution<double> share(0.0, 1.0);
-    const Millis median = request.idempotent || plan_.otherWork == Millis(0) ? plan_.work : plan_.otherWork;
-    std::lognormal_distribution<double> work(std::log(static_cast<double>(median.count())), plan_.sigma);
+    const Millis median = request.idempotent || options_.otherWork == Millis(0) ? options_.work : options_.otherWork;
+    std::lognormal_distribution<double> work(std::log(static_cast<double>(median.count())), options_.sigma);
     double ms = work(random_) * server.slowFactor * (clock_.now() < server.coldUntil ? 4.0 : 1.0);
-    const bool outNow = server.flapEvery > Millis(0) && ((clock_.now() - start_) / server.flapEvery) % 2 == 1;
-    if (outNow || share(random_) < server.stallShare) {
+    const bool isDown = server.flapPeriod > Millis(0) && ((clock_.now() - start_) / server.flapPeriod) % 2 == 1;
+    if (isDown || share(random_) < server.stallShare) {
         ms = 60000.0;
     }
-    const bool error = share(random_) < std::max(server.errorShare, plan_.healthyErrors);
+    const bool error = share(random_) < std::max(server.errorShare, options_.healthyErrors);
     const SteadyTime done =
         clock_.now() + std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(ms));
-    schedule(std::min(done, request.asked.deadline), [this, id, attempt, error] { finish(id, attempt, error); });
-    schedule(clock_.now() + plan_.responseTime, [this, id, attempt] { checkLate(id, attempt); });
+    schedule(std::min(done, request.homeRequest.deadline), [this, id, attempt, error] { finish(id, attempt, error); });
+    schedule(clock_.now() + options_.responseTime, [this, id, attempt] { checkLate(id, attempt); });
 }
 
 void HomeRig::checkLate(std::uint64_t id, std::uint64_t attempt)
@@ -187,22 +189,22 @@
     firstLate_.emplace(request.server, clock_.now());
     home_.addEvidence(request.server, request.lateSteps == 0 ? Evidence::Late : Evidence::StillWaiting, clock_.now());
     ++request.lateSteps;
-    std::set<std::string> tried = request.asked.exclude;
+    std::set<std::string> tried = request.homeRequest.exclude;
     tried.insert(request.server);
-    const bool move =
-        request.lateSteps == 1 && request.idempotent && home_.hasRoomBeside(tried, clock_.now()) && budget_.tryRetry();
+    const bool move = request.lateSteps == 1 && request.idempotent && home_.hasFreeSlotExcluding(tried, clock_.now())
+                      && budget_.tryRetry();
     if (move) {
-        moveOn(id);
+        retryElsewhere(id);
         return;
     }
-    schedule(clock_.now() + lateStepOf(plan_.responseTime), [this, id, attempt] { checkLate(id, attempt); });
+    schedule(clock_.now() + lateStepOf(options_.responseTime), [this, id, attempt] { checkLate(id, attempt); });
 }
 
-void HomeRig::moveOn(std::uint64_t id)
+void HomeRig::retryElsewhere(std::uint64_t id)
 {
     Request &request = requests_[id];
     home_.release(id, request.server, clock_.now() - request.attemptStarted);
-    request.asked.exclude.insert(request.server);
+    request.homeRequest.exclude.insert(request.server);
     ++request.attempt;
     submit(id);
     poll();
@@ -215,7 +217,7 @@
         return;
     }
     Request &request = found->second;
-    const bool timedOut = clock_.now() >= request.asked.deadline;
+    const bool timedOut = clock_.now() >= request.homeRequest.deadline;
     home_.release(id, request.server, clock_.now() - request.attemptStarted);
     if (error) {
         home_.addEvidence(request.server, Evidence::Failed, clock_.now());
@@ -225,7 +227,7 @@
     if (request.idempotent && !timedOut) {
         readMs.push_back(std::chrono::duration<double, std::milli>(clock_.now() - request.arrived).count());
     }
-    const bool isLate = clock_.now() - request.arrived > plan_.responseTime;
+    const bool isLate = clock_.now() - request.arrived > options_.responseTime;
     (error || timedOut ? failed : (isLate ? late : good)) += 1;
     requests_.erase(found);
     poll();
@@ -233,7 +235,7 @@
 
 void HomeRig::poll()
 {
-    const ServiceHome::Due due = home_.poll(clock_.now());
+    const ServiceHome::PollResult due = home_.poll(clock_.now());
     for (const std::uint64_t id : due.expired) {
         ++refused;
         requests_.erase(id);
@@ -258,7 +260,7 @@
         }
     }
     grantPledges(home_.floor());
-    least_ = std::min(least_, home_.inService());
+    minInService_ = std::min(minInService_, home_.inService());
     poll();
 }
 
@@ -292,9 +294,9 @@
     return home_.inService();
 }
 
-std::uint32_t HomeRig::leastInService() const
+std::uint32_t HomeRig::minInService() const
 {
-    return least_;
+    return minInService_;
 }
 
 const std::vector<Ejection> &HomeRig::ejections() const
@@ -308,7 +310,7 @@
     return found == firstLate_.end() ? start_ : found->second;
 }
 
-void HomeRig::forgetFirstLate()
+void HomeRig::resetFirstLate()
 {
     firstLate_.clear();
 }
--- a/tests/support/HomeRig.h
+++ b/tests/support/HomeRig.h
@@ -18,7 +18,7 @@
     double errorShare = 0.0;
     double slowFactor = 1.0;
     /** Well and out in turn, each for this long; zero: it does not flap. */
-    Millis flapEvery{0};
+    Millis flapPeriod{0};
     bool sheds = false;
     bool announces = true;
     ServerState state = ServerState::Serving;
@@ -28,7 +28,7 @@
     SteadyTime coldUntil;
 };
 
-struct RigPlan {
+struct RigOptions {
     int servers = 12;
     std::uint32_t slots = 3;
     /** Requests a second. */
@@ -39,7 +39,7 @@
     Millis work{50};
     double sigma = 0.6;
     double healthyErrors = 0.001;
-    EjectionCare care = EjectionCare::Balanced;
+    EjectionPolicy policy = EjectionPolicy::Balanced;
     CapacityFloor floor{8, 0.0};
     double idempotentShare = 1.0;
     /** Median time of the other class's work, where it differs; zero: as the first. */
@@ -56,7 +56,7 @@
     SteadyTime at;
     std::string server;
     /** The server was in fact well. */
-    bool wrongly = false;
+    bool falsePositive = false;
 };
 
 /**
@@ -66,7 +66,7 @@
 class HomeRig
 {
 public:
-    explicit HomeRig(RigPlan plan);
+    explicit HomeRig(RigOptions options);
     /** Runs until @p length after the start of the rig. */
     void runUntil(Duration length);
     /** Calls @p action at @p after the start. */
@@ -76,11 +76,11 @@
     /** True while the home sends it no ordinary work. */
     bool isOut(const std::string &name) const;
     std::uint32_t inService() const;
-    std::uint32_t leastInService() const;
+    std::uint32_t minInService() const;
     const std::vector<Ejection> &ejections() const;
     /** First request that a server made late after @p since; the rig's start if none. */
     SteadyTime firstLate(const std::string &name) const;
-    void forgetFirstLate();
+    void resetFirstLate();
     SteadyTime start() const;
     SteadyTime now() const;
 
@@ -95,7 +95,7 @@
 
 private:
     struct Request {
-        HomeRequest asked;
+        HomeRequest homeRequest;
         SteadyTime arrived;
         bool idempotent = true;
         std::string server;
@@ -110,14 +110,14 @@
     void begin(std::uint64_t id, const std::string &server);
     void checkLate(std::uint64_t id, std::uint64_t attempt);
     void finish(std::uint64_t id, std::uint64_t attempt, bool error);
-    void moveOn(std::uint64_t id);
+    void retryElsewhere(std::uint64_t id);
     void end(std::uint64_t id);
     void poll();
     void tick();
     bool isBad(const FakeServer &server) const;
     Announcement announcementOf(const std::string &name) const;
 
-    RigPlan plan_;
+    RigOptions options_;
     ManualClock clock_;
     std::mt19937_64 random_;
     ServiceHome home_;
@@ -129,7 +129,7 @@
     std::vector<Ejection> ejections_;
     SteadyTime start_;
     std::uint64_t nextId_ = 1;
-    std::uint32_t least_ = 0;
+    std::uint32_t minInService_ = 0;
 };
 
 /** Lets the rig's pledges be granted: as by a store that always answers. */
--- a/tests/support/KnowledgeRig.h
+++ b/tests/support/KnowledgeRig.h
@@ -11,29 +11,29 @@
 /** The bound within which an acknowledged change is in force at every node that was undisturbed. */
 constexpr Millis applyBound{2500};
 /** A node that a disturbance has reached counts as undisturbed again after this time. */
-constexpr Millis calmAfter{4000};
+constexpr Millis undisturbedAfter{4000};
 /** A change is due at the later of two times; the disturbances of these tests come just before the change. */
-constexpr Millis dueAfterDisturbance = std::max(applyBound, calmAfter);
+constexpr Millis dueAfterDisturbance = std::max(applyBound, undisturbedAfter);
 
 /** Bookings are for "archive" from version 2 on, whose server stands beside node 2. */
-class KnowledgeRig
+class ConfigPropagationRig
 {
 protected:
-    struct Plan {
+    struct Options {
         int spareRoutes = 0;
         int nodes = 3;
         bool proxies = false;
     };
 
-    explicit KnowledgeRig(const Plan &plan)
-        : nodes_(plan.nodes)
-        , mesh_(meshPlan(plan))
+    explicit ConfigPropagationRig(const Options &options)
+        : nodes_(options.nodes)
+        , mesh_(meshOptions(options))
     { }
 
     bool isInForceAt(int node, std::uint64_t version) const
     {
         const std::string word = "version=" + std::to_string(version);
-        return mesh_.linesWith(node, {"event=config_in_force", word}) > 0;
+        return mesh_.countLogLines(node, {"event=config_in_force", word}) > 0;
     }
 
     bool isInForce(std::uint64_t version) const
@@ -50,13 +50,13 @@
     Mesh mesh_;
 
 private:
-    static MeshPlan meshPlan(const Plan &plan)
+    static MeshOptions meshOptions(const Options &options)
     {
-        MeshPlan out;
-        out.services = std::vector<std::string>(static_cast<std::size_t>(plan.nodes), "desk");
+        MeshOptions out;
+        out.services = std::vector<std::string>(static_cast<std::size_t>(options.nodes), "desk");
         out.services.at(2) = "archive";
-        out.spareRoutes = plan.spareRoutes;
-        out.proxies = plan.proxies;
+        out.spareRoutes = options.spareRoutes;
+        out.proxies = options.proxies;
         return out;
     }
 };
