--- a/tests/support/Mesh.cpp
+++ b/tests/support/Mesh.cpp
@@ -25,7 +25,7 @@
 
 constexpr Millis controlTimeout{2000};
 
-void must(bool done, const std::string &what)
+void require(bool done, const std::string &what)
 {
     if (!done) {
         throw std::runtime_error("test mesh: " + what);
@@ -62,27 +62,27 @@
 
 } // namespace
 
-Mesh::Mesh(MeshPlan plan)
-    : plan_(std::move(plan))
+Mesh::Mesh(MeshOptions options)
+    : options_(std::move(options))
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "waxwing-mesh-XXXXXX").string();
-    must(mkdtemp(pattern.data()) != nullptr, "a directory");
+    require(mkdtemp(pattern.data()) != nullptr, "a directory");
     directory_ = pattern;
     storeProcess_ = std::make_unique<Process>("tests/standins/standin-objectapi", std::vector<std::string>{},
                                               directory_ + "/store.log");
-    store_ = Endpoint{"127.0.0.1", storeProcess_->printed("port")};
-    for (std::size_t i = 0; i < plan_.services.size(); ++i) {
+    store_ = Endpoint{"127.0.0.1", storeProcess_->waitForPrintedNumber("port")};
+    for (std::size_t i = 0; i < options_.services.size(); ++i) {
         Member member;
         for (Endpoint *one : {&member.callers, &member.links, &member.control, &member.readiness, &member.app}) {
             *one = freeEndpoint();
         }
         member.proxied = member.links;
-        if (plan_.proxies) {
+        if (options_.proxies) {
             member.proxy = std::make_unique<Process>("tests/standins/standin-faultproxy",
                                                      std::vector<std::string>{"--target", member.links.text()},
                                                      directory_ + "/proxy" + std::to_string(i) + ".log");
-            member.proxied = Endpoint{"127.0.0.1", member.proxy->printed("port")};
-            member.proxyControl = Endpoint{"127.0.0.1", member.proxy->printed("control")};
+            member.proxied = Endpoint{"127.0.0.1", member.proxy->waitForPrintedNumber("port")};
+            member.proxyControl = Endpoint{"127.0.0.1", member.proxy->waitForPrintedNumber("control")};
         }
         members_.push_back(std::move(member));
     }
@@ -91,7 +91,7 @@
         startNode(static_cast<int>(i));
         startServer(static_cast<int>(i));
     }
-    must(eventually([this] { return settled(); }, std::chrono::seconds(20)), "every node serves");
+    require(eventually([this] { return allServing(); }, std::chrono::seconds(20)), "every node serves");
 }
 
 Mesh::~Mesh()
@@ -116,9 +116,10 @@
           {"operators", member.control.text()},
           {"readiness", member.readiness.text()}}},
         {"objectApi", store_.text()},
-        {"server", {{"service", plan_.services.at(static_cast<std::size_t>(index))}, {"address", member.app.text()}}},
-        {"bounds", json::array({"grace_s=" + std::to_string(plan_.graceSeconds), "retry_budget_ratio=0.2",
-                                "budget_slack=" + std::to_string(plan_.budgetSlack)})}};
+        {"server",
+         {{"service", options_.services.at(static_cast<std::size_t>(index))}, {"address", member.app.text()}}},
+        {"bounds", json::array({"grace_s=" + std::to_string(options_.graceSeconds), "retry_budget_ratio=0.2",
+                                "budget_slack=" + std::to_string(options_.budgetSlack)})}};
     std::string path = directory_ + "/n" + std::to_string(index) + ".json";
     std::ofstream(path) << settings.dump(2);
     return path;
@@ -129,7 +130,7 @@
     Member &member = members_.at(static_cast<std::size_t>(index));
     member.node.reset();
     const std::string settings = settingsFile(index);
-    const std::string program = nodeProgram(index, plan_.upgrade, member.starts);
+    const std::string program = nodeProgram(index, options_.upgrade, member.starts);
     member.logs.push_back(directory_ + "/n" + std::to_string(index) + "-" + std::to_string(++member.starts) + ".log");
     member.node =
         std::make_unique<Process>(program, std::vector<std::string>{"--settings", settings}, member.logs.back());
@@ -141,12 +142,12 @@
     Member &member = members_.at(i);
     member.server.reset();
     const std::vector<std::string> arguments = {
-        "--service", plan_.services.at(i),         "--id",     "i-" + std::to_string(index),
-        "--control", member.control.text(),        "--ledger", directory_ + "/ledger." + std::to_string(index),
-        "--work-ms", std::to_string(plan_.workMs), "--port",   std::to_string(member.app.port)};
+        "--service", options_.services.at(i),         "--id",     "i-" + std::to_string(index),
+        "--control", member.control.text(),           "--ledger", directory_ + "/ledger." + std::to_string(index),
+        "--work-ms", std::to_string(options_.workMs), "--port",   std::to_string(member.app.port)};
     member.server = std::make_unique<Process>("tests/standins/standin-sidecarserver", arguments,
                                               directory_ + "/server" + std::to_string(index) + ".log");
-    member.server->printed("port");
+    member.server->waitForPrintedNumber("port");
 }
 
 Process &Mesh::node(int index)
@@ -159,24 +160,26 @@
     return *members_.at(static_cast<std::size_t>(index)).server;
 }
 
-void Mesh::serverMode(int index, const json &mode)
+void Mesh::setServerMode(int index, const json &mode)
 {
     const HttpRequest request{"POST", "/_mode", {}, mode.dump()};
-    must(loopClient().exchange(members_.at(static_cast<std::size_t>(index)).app, request, controlTimeout).has_value(),
-         "server mode");
+    require(
+        loopClient().exchange(members_.at(static_cast<std::size_t>(index)).app, request, controlTimeout).has_value(),
+        "server mode");
 }
 
-void Mesh::storeFault(const json &fault)
+void Mesh::setStoreFault(const json &fault)
 {
-    must(loopClient().exchange(store_, HttpRequest{"POST", "/_fault", {}, fault.dump()}, controlTimeout).has_value(),
-         "store fault");
+    require(loopClient().exchange(store_, HttpRequest{"POST", "/_fault", {}, fault.dump()}, controlTimeout).has_value(),
+            "store fault");
 }
 
-void Mesh::linkFault(int index, const json &fault)
+void Mesh::setLinkFault(int index, const json &fault)
 {
     const Endpoint &control = members_.at(static_cast<std::size_t>(index)).proxyControl;
-    must(loopClient().exchange(control, HttpRequest{"POST", "/_fault", {}, fault.dump()}, controlTimeout).has_value(),
-         "link fault");
+    require(
+        loopClient().exchange(control, HttpRequest{"POST", "/_fault", {}, fault.dump()}, controlTimeout).has_value(),
+        "link fault");
 }
 
 void Mesh::configure(std::uint64_t version, const std::string &service)
@@ -184,22 +187,22 @@
     const UpdateResult result =
         ObjectApi(loopClient(), store_)
             .update(names::configKind, names::configName, configRevision_,
-                    configDocument(version, service, plan_.timeoutMs, plan_.spareRoutes).dump());
-    must(result.kind == UpdateResult::Kind::Stored, "configuration stored");
+                    configDocument(version, service, options_.timeoutMs, options_.spareRoutes).dump());
+    require(result.kind == UpdateResult::Kind::Stored, "configuration stored");
     configRevision_ = result.version;
 }
 
 tl::expected<HttpResponse, ExchangeError> Mesh::send(int node, const std::string &id, const std::string &path,
-                                                     Millis patience)
+                                                     Millis timeout)
 {
     const bool books = path.compare(0, 7, "/seats/") == 0;
     const HttpRequest request{
         books ? "POST" : "GET",
         path,
-        {{"Host", "desk.example"}, {names::requestId, id}, {names::timeoutMs, std::to_string(patience.count())}},
+        {{"Host", "desk.example"}, {names::requestId, id}, {names::timeoutMs, std::to_string(timeout.count())}},
         books ? "seat" : ""};
     return loopClient().exchange(members_.at(static_cast<std::size_t>(node)).callers, request,
-                                 patience + controlTimeout);
+                                 timeout + controlTimeout);
 }
 
 std::string Mesh::sendRaw(int node, const std::string &bytes, Millis allowed)
@@ -246,33 +249,33 @@
     return counts;
 }
 
-void Mesh::enlist(const std::string &node)
+void Mesh::addRegistryEntry(const std::string &node)
 {
-    RosterEntry entry;
+    RegistryEntry entry;
     entry.id = node;
     entry.links = freeEndpoint();
     entry.zone = "z0";
     entry.region = "elsewhere";
     entry.service = "desk";
     const UpdateResult result =
-        ObjectApi(loopClient(), store_).update(platform::rosterKind, node, 0, platform::encodeRosterEntry(entry));
-    must(result.kind == UpdateResult::Kind::Stored, "entry stored");
+        ObjectApi(loopClient(), store_).update(platform::registryKind, node, 0, platform::encodeRegistryEntry(entry));
+    require(result.kind == UpdateResult::Kind::Stored, "entry stored");
 }
 
-void Mesh::delist(const std::string &node)
+void Mesh::removeRegistryEntry(const std::string &node)
 {
     ObjectApi api(loopClient(), store_);
     Expected<std::optional<StoredObject>> entry;
     const auto isThere = [&] {
-        entry = api.read(platform::rosterKind, node);
+        entry = api.read(platform::registryKind, node);
         return entry && *entry;
     };
-    must(eventually(isThere), "entry to remove");
-    const UpdateResult result = api.remove(platform::rosterKind, node, (*entry)->version);
-    must(result.kind == UpdateResult::Kind::Stored, "entry removed");
+    require(eventually(isThere), "entry to remove");
+    const UpdateResult result = api.remove(platform::registryKind, node, (*entry)->version);
+    require(result.kind == UpdateResult::Kind::Stored, "entry removed");
 }
 
-int Mesh::linesWith(int node, const std::vector<std::string> &words) const
+int Mesh::countLogLines(int node, const std::vector<std::string> &words) const
 {
     std::ifstream text(members_.at(static_cast<std::size_t>(node)).logs.back());
     int count = 0;
@@ -294,19 +297,19 @@
     return text.str();
 }
 
-bool Mesh::settled()
+bool Mesh::allServing()
 {
     static int number = 0;
     for (std::size_t i = 0; i < members_.size(); ++i) {
         const auto answer = send(static_cast<int>(i), "settle-" + std::to_string(++number), "/dates/1");
-        if (!answer || answer->status != 200 || !knowsAll(static_cast<int>(i))) {
+        if (!answer || answer->status != 200 || !hasAllNodes(static_cast<int>(i))) {
             return false;
         }
     }
     return true;
 }
 
-bool Mesh::knowsAll(int node) const
+bool Mesh::hasAllNodes(int node) const
 {
     const std::string text = log(node);
     const std::string all = "nodes=" + std::to_string(members_.size());
--- a/tests/support/Mesh.h
+++ b/tests/support/Mesh.h
@@ -10,7 +10,7 @@
 namespace waxwing::testing {
 
 /** What a test of the platform's path wants running: nodes with one backend server each, all of one region. */
-struct MeshPlan {
+struct MeshOptions {
     /** The service of each node's server. */
     std::vector<std::string> services = {"desk", "desk", "desk"};
     /** Nodes' links are reached through a fault proxy each. */
@@ -31,7 +31,7 @@
 class Mesh
 {
 public:
-    explicit Mesh(MeshPlan plan = {});
+    explicit Mesh(MeshOptions options = {});
     ~Mesh();
     Mesh(const Mesh &) = delete;
     Mesh &operator=(const Mesh &) = delete;
@@ -40,16 +40,16 @@
     void startServer(int index);
     Process &node(int index);
     Process &server(int index);
-    void serverMode(int index, const nlohmann::json &mode);
-    void storeFault(const nlohmann::json &fault);
-    /** Faults on the way of other nodes to this one's links. @pre MeshPlan::proxies. */
-    void linkFault(int index, const nlohmann::json &fault);
+    void setServerMode(int index, const nlohmann::json &mode);
+    void setStoreFault(const nlohmann::json &fault);
+    /** Faults on the way of other nodes to this one's links. @pre MeshOptions::proxies. */
+    void setLinkFault(int index, const nlohmann::json &fault);
     /** Writes the configuration; @p service takes the bookings and @p version orders it. */
     void configure(std::uint64_t version, const std::string &service = "desk");
 
     /** Sends a request to a node's callers' port: "/dates/" is idempotent, "/seats/" is not. */
     tl::expected<HttpResponse, ExchangeError> send(int node, const std::string &id, const std::string &path,
-                                                   Millis patience = std::chrono::seconds(3));
+                                                   Millis timeout = std::chrono::seconds(3));
     /** Sends bytes as they are and returns all that comes back until the node closes or falls silent. */
     std::string sendRaw(int node, const std::string &bytes, Millis allowed = std::chrono::milliseconds(1500));
     /** True if the node says that it takes callers. */
@@ -57,15 +57,15 @@
     /** How often each request id was executed. */
     std::map<std::string, int> executions() const;
     /** Writes an entry of a node that does not run into the roster. */
-    void enlist(const std::string &node);
+    void addRegistryEntry(const std::string &node);
     /** Removes a node's entry from the roster; a node that runs writes it again. */
-    void delist(const std::string &node);
+    void removeRegistryEntry(const std::string &node);
     /** How many lines of the node's log since its last start contain every one of @p words. */
-    int linesWith(int node, const std::vector<std::string> &words) const;
+    int countLogLines(int node, const std::vector<std::string> &words) const;
     /** A node's log. */
     std::string log(int node) const;
     /** Sends idempotent requests until every node has been served by another one's server. */
-    bool settled();
+    bool allServing();
 
 private:
     struct Member {
@@ -85,9 +85,9 @@
 
     std::string settingsFile(int index);
     /** By its log: the node's roster has held every member. */
-    bool knowsAll(int node) const;
+    bool hasAllNodes(int node) const;
 
-    MeshPlan plan_;
+    MeshOptions options_;
     std::string directory_;
     Endpoint store_;
     std::unique_ptr<Process> storeProcess_;
--- a/tests/support/Scenario.cpp
+++ b/tests/support/Scenario.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-struct Word {
+struct Token {
     std::string text;
     int line = 0;
     int column = 0;
 };
 
-using Line = std::vector<Word>;
+using Line = std::vector<Token>;
 
 struct SyntaxError {
-    Word at;
+    Token at;
     std::string message;
 };
 
-[[noreturn]] void wrong(const Word &at, const std::string &message)
+[[noreturn]] void throwAt(const Token &at, const std::string &message)
 {
     throw SyntaxError{at, message};
 }
 
-std::vector<Line> wordsOf(const std::string &text)
+std::vector<Line> tokenize(const std::string &text)
 {
     std::vector<Line> lines;
     std::istringstream in(text);
@@ -40,7 +40,7 @@
         std::size_t at = 0;
         while ((at = code.find_first_not_of(" \t", at)) != std::string::npos) {
             const std::size_t end = std::min(code.find_first_of(" \t", at), code.size());
-            line.push_back(Word{code.substr(at, end - at), number, static_cast<int>(at) + 1});
+            line.push_back(Token{code.substr(at, end - at), number, static_cast<int>(at) + 1});
             at = end;
         }
         if (!line.empty()) {
@@ -61,12 +61,12 @@
     {
         return next_ >= line_.size();
     }
-    const Word &word()
+    const Token &word()
     {
         if (done()) {
-            Word after = line_.back();
+            Token after = line_.back();
             after.column += static_cast<int>(after.text.size());
-            wrong(after, "the line ends too early");
+            throwAt(after, "the line ends too early");
         }
         return line_[next_++];
     }
@@ -78,43 +78,43 @@
     }
     void expect(const std::string &text)
     {
-        const Word &found = word();
+        const Token &found = word();
         if (found.text != text) {
-            wrong(found, "expected \"" + text + "\"");
+            throwAt(found, "expected \"" + text + "\"");
         }
     }
     double number()
     {
-        const Word &found = word();
+        const Token &found = word();
         char *end = nullptr;
         const double value = std::strtod(found.text.c_str(), &end);
         if (end == found.text.c_str() || *end != '\0') {
-            wrong(found, "not a number");
+            throwAt(found, "not a number");
         }
         return value;
     }
     Millis duration()
     {
-        const Word &found = word();
+        const Token &found = word();
         const auto value = parseDuration(found.text);
         if (!value) {
-            wrong(found, value.error().message);
+            throwAt(found, value.error().message);
         }
         return *value;
     }
     double share()
     {
-        const Word &found = word();
-        const auto value = parseShare(found.text);
+        const Token &found = word();
+        const auto value = parsePercentage(found.text);
         if (!value) {
-            wrong(found, value.error().message);
+            throwAt(found, value.error().message);
         }
         return *value;
     }
     void finish()
     {
         if (!done()) {
-            wrong(line_[next_], "unexpected word");
+            throwAt(line_[next_], "unexpected word");
         }
     }
 
@@ -125,19 +125,19 @@
 
 using Action = std::function<void(HomeRig &)>;
 
-Action parseAction(Reader &reader, const RigPlan &plan)
+Action parseAction(Reader &reader, const RigOptions &options)
 {
     reader.expect("server");
-    const Word name = reader.word();
+    const Token name = reader.word();
     const bool all = name.text == "all";
     bool known = all;
-    for (int i = 0; i < plan.servers; ++i) {
+    for (int i = 0; i < options.servers; ++i) {
         known = known || name.text == "s" + std::to_string(i);
     }
     if (!known) {
-        wrong(name, "no such server");
+        throwAt(name, "no such server");
     }
-    const Word verb = reader.word();
+    const Token verb = reader.word();
     std::function<void(FakeServer &, SteadyTime)> set;
     if (verb.text == "stall") {
         set = [share = reader.share()](FakeServer &s, SteadyTime) { s.stallShare = share; };
@@ -146,7 +146,7 @@
     } else if (verb.text == "slow") {
         set = [factor = reader.number()](FakeServer &s, SteadyTime) { s.slowFactor = factor; };
     } else if (verb.text == "flap") {
-        set = [period = reader.duration()](FakeServer &s, SteadyTime) { s.flapEvery = period; };
+        set = [period = reader.duration()](FakeServer &s, SteadyTime) { s.flapPeriod = period; };
     } else if (verb.text == "cold") {
         set = [length = reader.duration()](FakeServer &s, SteadyTime now) {
             ++s.incarnation;
@@ -159,7 +159,7 @@
     } else if (verb.text == "drain") {
         set = [](FakeServer &s, SteadyTime) { s.state = ServerState::Draining; };
     } else {
-        wrong(verb, "unknown fault");
+        throwAt(verb, "unknown fault");
     }
     return [all, name = name.text, set](HomeRig &rig) {
         for (const std::string &one : rig.serverNames()) {
@@ -186,9 +186,9 @@
     reader.expect("server");
     Condition condition;
     condition.server = reader.word().text;
-    const Word &state = reader.word();
+    const Token &state = reader.word();
     if (state.text != "out" && state.text != "in") {
-        wrong(state, "expected \"out\" or \"in\"");
+        throwAt(state, "expected \"out\" or \"in\"");
     }
     condition.out = state.text == "out";
     return condition;
@@ -204,10 +204,10 @@
             statement(line);
         }
         if (lines.empty() || !ended_) {
-            wrong(lines.empty() ? Word{"", 1, 1} : lines.back().back(), "the scenario has no end");
+            throwAt(lines.empty() ? Token{"", 1, 1} : lines.back().back(), "the scenario has no end");
         }
         if (result_.story.empty()) {
-            wrong(lines.front().front(), "the scenario has no story");
+            throwAt(lines.front().front(), "the scenario has no story");
         }
         return result_;
     }
@@ -216,7 +216,7 @@
     void statement(const Line &line)
     {
         Reader reader(line);
-        const Word &first = reader.word();
+        const Token &first = reader.word();
         if (first.text == "story") {
             while (!reader.done()) {
                 result_.story += reader.word().text + " ";
@@ -228,16 +228,16 @@
             return;
         }
         if (!rig_) {
-            wrong(first, "the service comes first");
+            throwAt(first, "the service comes first");
         }
         if (first.text == "at") {
             const Millis when = reader.duration();
-            const Action action = parseAction(reader, plan_);
+            const Action action = parseAction(reader, options_);
             rig_->at(when, [this, action] { action(*rig_); });
         } else if (first.text == "when") {
             const Condition condition = parseCondition(reader);
             reader.expect("then");
-            whens_.push_back({condition, parseAction(reader, plan_), false});
+            triggers_.push_back({condition, parseAction(reader, options_), false});
         } else if (first.text == "expect") {
             expectation(reader, first);
         } else if (first.text == "end") {
@@ -245,58 +245,58 @@
             reader.finish();
             end(length);
         } else {
-            wrong(first, "unknown statement");
+            throwAt(first, "unknown statement");
         }
         reader.finish();
     }
 
-    void service(Reader &reader, const Word &at)
+    void service(Reader &reader, const Token &at)
     {
         if (rig_) {
-            wrong(at, "there is one service");
+            throwAt(at, "there is one service");
         }
         while (!reader.done()) {
-            const Word &key = reader.word();
+            const Token &key = reader.word();
             if (key.text == "servers") {
-                plan_.servers = static_cast<int>(reader.number());
+                options_.servers = static_cast<int>(reader.number());
             } else if (key.text == "slots") {
-                plan_.slots = static_cast<std::uint32_t>(reader.number());
+                options_.slots = static_cast<std::uint32_t>(reader.number());
             } else if (key.text == "rate") {
-                plan_.rate = reader.number();
+                options_.rate = reader.number();
             } else if (key.text == "response") {
-                plan_.responseTime = reader.duration();
+                options_.responseTime = reader.duration();
             } else if (key.text == "floor") {
-                plan_.floor.servers = static_cast<std::uint32_t>(reader.number());
+                options_.floor.servers = static_cast<std::uint32_t>(reader.number());
             } else if (key.text == "seed") {
-                plan_.seed = static_cast<std::uint64_t>(reader.number());
+                options_.seed = static_cast<std::uint64_t>(reader.number());
             } else if (key.text == "writes") {
-                plan_.idempotentShare = 1.0 - reader.share();
+                options_.idempotentShare = 1.0 - reader.share();
             } else if (key.text == "care") {
                 care(reader.word());
             } else {
-                wrong(key, "unknown property of the service");
+                throwAt(key, "unknown property of the service");
             }
         }
-        rig_ = std::make_unique<HomeRig>(plan_);
+        rig_ = std::make_unique<HomeRig>(options_);
     }
 
-    void care(const Word &word)
+    void care(const Token &word)
     {
-        for (const EjectionCare one : {EjectionCare::Fast, EjectionCare::Balanced, EjectionCare::Careful}) {
-            if (word.text == ejectionCareName(one)) {
-                plan_.care = one;
+        for (const EjectionPolicy one : {EjectionPolicy::Fast, EjectionPolicy::Balanced, EjectionPolicy::Careful}) {
+            if (word.text == ejectionPolicyName(one)) {
+                options_.policy = one;
                 return;
             }
         }
-        wrong(word, "care is fast, balanced or careful");
+        throwAt(word, "care is fast, balanced or careful");
     }
 
-    void fail(const Word &at, const std::string &what)
+    void fail(const Token &at, const std::string &what)
     {
         result_.failures.push_back("line " + std::to_string(at.line) + ": " + what);
     }
 
-    void expectation(Reader &reader, const Word &at)
+    void expectation(Reader &reader, const Token &at)
     {
         ++result_.expectations;
         if (reader.accept("within")) {
@@ -308,8 +308,8 @@
             if (reader.accept("below")) {
                 const auto least = static_cast<std::uint32_t>(reader.number());
                 checks_.emplace_back([this, at, least] {
-                    if (rig_->leastInService() < least) {
-                        fail(at, "in service fell to " + std::to_string(rig_->leastInService()));
+                    if (rig_->minInService() < least) {
+                        fail(at, "in service fell to " + std::to_string(rig_->minInService()));
                     }
                 });
             } else {
@@ -344,10 +344,10 @@
         constexpr Millis step{10};
         for (Millis now = step; now <= length; now += step) {
             rig_->runUntil(now);
-            for (When &when : whens_) {
-                if (!when.done && when.condition.holds(*rig_)) {
-                    when.done = true;
-                    when.action(*rig_);
+            for (Trigger &trigger : triggers_) {
+                if (!trigger.done && trigger.condition.holds(*rig_)) {
+                    trigger.done = true;
+                    trigger.action(*rig_);
                 }
             }
             for (Watch &watch : watches_) {
@@ -365,13 +365,13 @@
         ended_ = true;
     }
 
-    struct When {
+    struct Trigger {
         Condition condition;
         Action action;
         bool done;
     };
     struct Watch {
-        Word at;
+        Token at;
         Condition condition;
         Millis from;
         Millis within;
@@ -392,10 +392,10 @@
         }
     }
 
-    RigPlan plan_;
+    RigOptions options_;
     std::unique_ptr<HomeRig> rig_;
     ScenarioResult result_;
-    std::vector<When> whens_;
+    std::vector<Trigger> triggers_;
     std::vector<Watch> watches_;
     std::vector<std::function<void()>> checks_;
     bool ended_ = false;
@@ -406,7 +406,7 @@
 Expected<ScenarioResult> runScenario(const std::string &text)
 {
     try {
-        return Run().run(wordsOf(text));
+        return Run().run(tokenize(text));
     } catch (const SyntaxError &error) {
         return fail(ErrorCode::Malformed, std::to_string(error.at.line) + ":" + std::to_string(error.at.column) + ": "
                                               + error.message
--- a/tests/unit/ClaimTableTest.cpp
+++ b/tests/unit/ClaimTableTest.cpp
@@ -16,18 +16,18 @@
     ManualClock clock;
     NodeRef self{"n1", 42};
     ClaimLimits limits{4, 1000, std::chrono::minutes(10)};
-    TicketMint mint{self, clock};
+    TicketIssuer issue{self, clock};
     ClaimTable table{self, clock, limits};
 
-    ClaimVerdict begin(const Ticket &ticket)
+    ClaimDecision begin(const Ticket &ticket)
     {
-        return table.begin(ticket, mint.age(), digest);
+        return table.begin(ticket, issue.age(), digest);
     }
 };
 
-ClaimEnd ran(const std::string &body)
+ClaimResult ran(const std::string &body)
 {
-    return ClaimEnd{Outcome::Ran, HttpResponse{200, {}, body}};
+    return ClaimResult{Outcome::Ran, HttpResponse{200, {}, body}};
 }
 
 } // namespace
@@ -38,7 +38,7 @@
     const auto parsed = Ticket::parse(ticket.text());
     REQUIRE(parsed);
     CHECK(parsed->owner == ticket.owner);
-    CHECK(parsed->mintedAt == ticket.mintedAt);
+    CHECK(parsed->issuedAt == ticket.issuedAt);
     CHECK(parsed->sequence == ticket.sequence);
     for (const char *bad : {"", "wx1.", "wx1.n1.1.2", "wx1.n1.x.1.1", "wx2.n1.1.1.1", "wx1..1.1.1", "wx1.a b.1.1.1"}) {
         INFO(bad);
@@ -48,90 +48,90 @@
 
 TEST_CASE_FIXTURE(OwnerFixture, "claim, second attempt while it runs and after it ended, never starts again")
 {
-    const Ticket ticket = mint.mint();
-    CHECK(begin(ticket) == ClaimVerdict::Start);
-    CHECK(begin(ticket) == ClaimVerdict::Running);
+    const Ticket ticket = issue.issue();
+    CHECK(begin(ticket) == ClaimDecision::Start);
+    CHECK(begin(ticket) == ClaimDecision::Running);
     table.finish(ticket, ran("seat 4"));
-    CHECK(begin(ticket) == ClaimVerdict::Replay);
-    CHECK(table.endOf(ticket)->response.body == "seat 4");
-    CHECK(table.begin(ticket, mint.age(), digest + 1) == ClaimVerdict::OtherRequest);
+    CHECK(begin(ticket) == ClaimDecision::Replay);
+    CHECK(table.resultOf(ticket)->response.body == "seat 4");
+    CHECK(table.begin(ticket, issue.age(), digest + 1) == ClaimDecision::OtherRequest);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "claim, ended unknown, stays in doubt")
 {
-    const Ticket ticket = mint.mint();
+    const Ticket ticket = issue.issue();
     begin(ticket);
-    table.finish(ticket, ClaimEnd{Outcome::Unknown, {}});
-    CHECK(begin(ticket) == ClaimVerdict::InDoubt);
+    table.finish(ticket, ClaimResult{Outcome::Unknown, {}});
+    CHECK(begin(ticket) == ClaimDecision::OutcomeUnknown);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "claim, ended not run, may start again")
 {
-    const Ticket ticket = mint.mint();
+    const Ticket ticket = issue.issue();
     begin(ticket);
-    table.finish(ticket, ClaimEnd{Outcome::NotRun, {}});
-    CHECK(begin(ticket) == ClaimVerdict::Start);
+    table.finish(ticket, ClaimResult{Outcome::NotRun, {}});
+    CHECK(begin(ticket) == ClaimDecision::Start);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "claim, resent after the entry was dropped, is refused as expired")
 {
     // Story: a caller sends a booking again after hours. The owner has forgotten it by then; were the ticket to start
     // as if it were new, the seat would be booked twice. The ticket's own age says that it is too old to start.
-    const Ticket ticket = mint.mint();
+    const Ticket ticket = issue.issue();
     begin(ticket);
     table.finish(ticket, ran("seat"));
     clock.advance(limits.validity);
     table.expire();
     CHECK(table.size() == 0);
-    CHECK(begin(ticket) == ClaimVerdict::Expired);
+    CHECK(begin(ticket) == ClaimDecision::Expired);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "claim table, full, refuses new claims and evicts none")
 {
     std::vector<Ticket> tickets;
     for (std::size_t i = 0; i < limits.entries; ++i) {
-        tickets.push_back(mint.mint());
-        CHECK(begin(tickets.back()) == ClaimVerdict::Start);
+        tickets.push_back(issue.issue());
+        CHECK(begin(tickets.back()) == ClaimDecision::Start);
     }
-    CHECK(begin(mint.mint()) == ClaimVerdict::Full);
-    CHECK(begin(tickets.front()) == ClaimVerdict::Running);
+    CHECK(begin(issue.issue()) == ClaimDecision::Full);
+    CHECK(begin(tickets.front()) == ClaimDecision::Running);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "claim, answer above the bytes allowed, is remembered as run without it")
 {
-    const Ticket ticket = mint.mint();
+    const Ticket ticket = issue.issue();
     begin(ticket);
-    table.finish(ticket, ran(std::string(limits.answerBytes + 1, 'x')));
-    CHECK(begin(ticket) == ClaimVerdict::AnswerNotKept);
+    table.finish(ticket, ran(std::string(limits.responseBytes + 1, 'x')));
+    CHECK(begin(ticket) == ClaimDecision::ResponseNotStored);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "ticket, of another incarnation or from the future, is not this owner's")
 {
-    CHECK(begin(Ticket{{"n1", 41}, Millis(0), 1}) == ClaimVerdict::NotOwner);
-    CHECK(begin(Ticket{self, std::chrono::hours(5), 1}) == ClaimVerdict::NotOwner);
+    CHECK(begin(Ticket{{"n1", 41}, Millis(0), 1}) == ClaimDecision::NotOwner);
+    CHECK(begin(Ticket{self, std::chrono::hours(5), 1}) == ClaimDecision::NotOwner);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "handover, used and unused and old tickets, are decided by the successor alike")
 {
     // Story: a node is replaced while callers still hold its tickets. The successor must repeat what ran, start what
     // never did, and refuse tickets so old that the leaving node may have forgotten their use.
-    const Ticket old = mint.mint();
+    const Ticket old = issue.issue();
     clock.advance(limits.validity);
-    const Ticket used = mint.mint();
-    const Ticket unused = mint.mint();
+    const Ticket used = issue.issue();
+    const Ticket unused = issue.issue();
     begin(used);
     table.finish(used, ran("seat 9"));
     table.stopClaiming();
-    CHECK(begin(mint.mint()) == ClaimVerdict::Stopping);
+    CHECK(begin(issue.issue()) == ClaimDecision::Stopping);
 
     const NodeRef next{"n2", 50};
     ManualClock nextClock;
-    TicketMint nextMint(next, nextClock);
+    TicketIssuer nextIssuer(next, nextClock);
     ClaimTable successor(next, nextClock, limits);
-    successor.adopt(table.handOver(mint.age()));
-    CHECK(successor.begin(used, nextMint.age(), digest) == ClaimVerdict::Replay);
-    CHECK(successor.begin(unused, nextMint.age(), digest) == ClaimVerdict::Start);
-    CHECK(successor.begin(old, nextMint.age(), digest) == ClaimVerdict::Expired);
+    successor.adopt(table.handOver(issue.age()));
+    CHECK(successor.begin(used, nextIssuer.age(), digest) == ClaimDecision::Replay);
+    CHECK(successor.begin(unused, nextIssuer.age(), digest) == ClaimDecision::Start);
+    CHECK(successor.begin(old, nextIssuer.age(), digest) == ClaimDecision::Expired);
 }
 
 TEST_CASE_FIXTURE(OwnerFixture, "handover, larger than one message, is taken whole or decides nothing")
@@ -141,26 +141,26 @@
     ClaimTable many(self, clock, ClaimLimits{1000, 1000000, std::chrono::minutes(10)});
     std::vector<Ticket> used;
     for (int i = 0; i < 40; ++i) {
-        used.push_back(mint.mint());
-        many.begin(used.back(), mint.age(), digest);
+        used.push_back(issue.issue());
+        many.begin(used.back(), issue.age(), digest);
         many.finish(used.back(), ran(std::string(400, 'x')));
     }
     many.stopClaiming();
-    const std::vector<ClaimHandover> parts = partsOf(many.handOver(mint.age()), 2000);
+    const std::vector<ClaimHandover> parts = splitHandover(many.handOver(issue.age()), 2000);
     CHECK(parts.size() > 5);
     const NodeRef next{"n2", 50};
-    TicketMint nextMint(next, clock);
+    TicketIssuer nextIssuer(next, clock);
     ClaimTable successor(next, clock, ClaimLimits{1000, 1000000, std::chrono::minutes(10)});
-    const Ticket unused = mint.mint();
+    const Ticket unused = issue.issue();
     for (const ClaimHandover &part : parts) {
-        CHECK(successor.begin(unused, nextMint.age(), digest) == ClaimVerdict::NotOwner);
+        CHECK(successor.begin(unused, nextIssuer.age(), digest) == ClaimDecision::NotOwner);
         CHECK(encodeMessage(part).size() < 4000);
         successor.adopt(part);
     }
     for (const Ticket &ticket : used) {
-        CHECK(successor.begin(ticket, nextMint.age(), digest) == ClaimVerdict::Replay);
+        CHECK(successor.begin(ticket, nextIssuer.age(), digest) == ClaimDecision::Replay);
     }
-    CHECK(successor.begin(unused, nextMint.age(), digest) == ClaimVerdict::Start);
+    CHECK(successor.begin(unused, nextIssuer.age(), digest) == ClaimDecision::Start);
 }
 
 TEST_CASE("claims, random schedules of resends, kills, handovers and lost answers, run each key at most once")
@@ -176,7 +176,7 @@
         ManualClock clock;
         struct Owner {
             NodeRef ref;
-            std::unique_ptr<TicketMint> mint;
+            std::unique_ptr<TicketIssuer> issue;
             std::unique_ptr<ClaimTable> table;
             bool dead = false;
         };
@@ -185,7 +185,7 @@
         std::uint64_t incarnation = 1;
         const auto addOwner = [&](const std::string &id) {
             Owner owner{{id, incarnation++}, nullptr, nullptr, false};
-            owner.mint = std::make_unique<TicketMint>(owner.ref, clock);
+            owner.issue = std::make_unique<TicketIssuer>(owner.ref, clock);
             owner.table =
                 std::make_unique<ClaimTable>(owner.ref, clock, ClaimLimits{1000, 10000, std::chrono::minutes(1)});
             owners.push_back(std::move(owner));
@@ -225,7 +225,7 @@
                     addOwner("y" + std::to_string(step));
                     continue;
                 }
-                const ClaimHandover handover = leaving.table->handOver(leaving.mint->age());
+                const ClaimHandover handover = leaving.table->handOver(leaving.issue->age());
                 leaving.dead = true;
                 addOwner("z" + std::to_string(step));
                 Owner &next = live();
@@ -234,7 +234,7 @@
                     successors[owner.ref] = next.ref;
                 }
             } else if (kind < 6) {
-                tickets.push_back(live().mint->mint());
+                tickets.push_back(live().issue->issue());
             } else if (kind < 8 && !frozen.empty()) {
                 const Frozen woken = frozen.back();
                 frozen.pop_back();
@@ -242,7 +242,7 @@
                 if (!owner.dead) {
                     ++ledger[woken.ticket.text()];
                     owner.table->finish(woken.ticket,
-                                        ClaimEnd{random() % 4 == 0 ? Outcome::Unknown : Outcome::Ran, {}});
+                                        ClaimResult{random() % 4 == 0 ? Outcome::Unknown : Outcome::Ran, {}});
                 }
             } else if (!tickets.empty()) {
                 const Ticket ticket = tickets[random() % tickets.size()];
@@ -257,8 +257,8 @@
                     told[ticket.text()] = Outcome::Unknown;
                     continue;
                 }
-                const ClaimVerdict verdict = at->table->begin(ticket, at->mint->age(), digest);
-                if (verdict != ClaimVerdict::Start) {
+                const ClaimDecision decision = at->table->begin(ticket, at->issue->age(), digest);
+                if (decision != ClaimDecision::Start) {
                     continue;
                 }
                 const auto end = random() % 5;
@@ -267,12 +267,12 @@
                     told[ticket.text()] = Outcome::Unknown;
                     frozen.push_back(Frozen{static_cast<std::size_t>(at - owners.begin()), ticket});
                 } else if (end == 1) {
-                    at->table->finish(ticket, ClaimEnd{Outcome::NotRun, {}});
+                    at->table->finish(ticket, ClaimResult{Outcome::NotRun, {}});
                     told[ticket.text()] = Outcome::NotRun;
                 } else {
                     ++ledger[ticket.text()];
                     told[ticket.text()] = end == 2 ? Outcome::Unknown : Outcome::Ran;
-                    at->table->finish(ticket, ClaimEnd{told[ticket.text()], {}});
+                    at->table->finish(ticket, ClaimResult{told[ticket.text()], {}});
                 }
             }
         }
--- a/tests/unit/DecisionsTest.cpp
+++ b/tests/unit/DecisionsTest.cpp
@@ -182,11 +182,11 @@
     for (int i = 0; i < 100; ++i) {
         recorder.record("s", "c", i == 0 ? BurnResult::Late : BurnResult::Good);
     }
-    const auto figures = burnFigures(recorder.slices().at("s/c"), 0.995, clock.wallNow());
-    REQUIRE(figures.size() == 3);
-    CHECK(figures[0].burn == doctest::Approx(2.0));
+    const auto rates = burnRates(recorder.slices().at("s/c"), 0.995, clock.wallNow());
+    REQUIRE(rates.size() == 3);
+    CHECK(rates[0].burn == doctest::Approx(2.0));
     clock.advance(std::chrono::hours(2));
-    const auto later = burnFigures(recorder.slices().at("s/c"), 0.995, clock.wallNow());
+    const auto later = burnRates(recorder.slices().at("s/c"), 0.995, clock.wallNow());
     CHECK(later[0].counts.total() == 0);
     CHECK(later[1].counts.total() == 100);
     for (int hour = 0; hour < 100; ++hour) {
@@ -194,22 +194,22 @@
         clock.advance(std::chrono::minutes(30));
     }
     CHECK(recorder.slices().at("s/c").size() <= 80);
-    CHECK(burnFigures(recorder.slices().at("s/c"), 0.995, clock.wallNow())[2].counts.total() == 200);
+    CHECK(burnRates(recorder.slices().at("s/c"), 0.995, clock.wallNow())[2].counts.total() == 200);
 }
 
 TEST_CASE("service home, slow class beside a fast one, does not take all slots")
 {
     // Story: one class in ten requests takes 75 times as long as the rest. It fails nothing, but it holds every slot,
     // and calendar readers wait behind it until they give up.
-    RigPlan plan;
-    plan.servers = 4;
-    plan.work = Millis(20);
-    plan.otherWork = Millis(1500);
-    plan.deadline = Millis(4000);
-    plan.floor = CapacityFloor{4, 0.0};
-    plan.rate = 100.0;
-    plan.idempotentShare = 0.9;
-    HomeRig rig(plan);
+    RigOptions options;
+    options.servers = 4;
+    options.work = Millis(20);
+    options.otherWork = Millis(1500);
+    options.deadline = Millis(4000);
+    options.floor = CapacityFloor{4, 0.0};
+    options.rate = 100.0;
+    options.idempotentShare = 0.9;
+    HomeRig rig(options);
     rig.runUntil(std::chrono::seconds(60));
     CHECK(rig.readMs.size() > 60U * 80);
     std::sort(rig.readMs.begin(), rig.readMs.end());
@@ -220,13 +220,13 @@
 {
     // Story: at twice the capacity a queue without limit makes every answer late, and nobody gets anything. Work that
     // would miss its deadline must be refused at once, with a time to come back, and the rest must be answered.
-    RigPlan plan;
-    plan.servers = 4;
-    plan.rate = 400;
-    plan.work = Millis(50);
-    plan.deadline = Millis(600);
-    plan.floor = CapacityFloor{4, 0.0};
-    HomeRig rig(plan);
+    RigOptions options;
+    options.servers = 4;
+    options.rate = 400;
+    options.work = Millis(50);
+    options.deadline = Millis(600);
+    options.floor = CapacityFloor{4, 0.0};
+    HomeRig rig(options);
     rig.runUntil(std::chrono::seconds(60));
     const double answered = static_cast<double>(rig.good + rig.late) / 60.0;
     CHECK(answered > 160.0);
--- a/tests/unit/FreshnessTest.cpp
+++ b/tests/unit/FreshnessTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-class KnowledgeAge
+class FreshnessFixture
 {
 protected:
     SteadyTime at(int ms) const
@@ -23,7 +23,7 @@
 } // namespace
 
 // Guards against a started node that takes callers before anything has shown that its version is the newest.
-TEST_CASE_FIXTURE(KnowledgeAge, "freshness, nothing confirmed and nothing tried, supports no callers")
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, nothing confirmed and nothing tried, supports no callers")
 {
     CHECK_FALSE(freshness_.mayServeCallers(at(0), false));
     CHECK_FALSE(freshness_.mayServeCallers(at(0), true));
@@ -31,7 +31,7 @@
 }
 
 // Guards against a node that reads an answer long after it was given and takes it for news.
-TEST_CASE_FIXTURE(KnowledgeAge, "freshness, answer read ten seconds after the question, does not start a node")
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, answer read ten seconds after the question, does not start a node")
 {
     freshness_.confirm(at(0));
     CHECK(freshness_.mayServeCallers(at(1500), false));
@@ -41,27 +41,27 @@
 }
 
 // Guards against a fleet that takes itself out of service because its store is away.
-TEST_CASE_FIXTURE(KnowledgeAge, "freshness, store that fails each question, goes on to support callers")
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, store that fails each question, goes on to support callers")
 {
     freshness_.confirm(at(0));
     for (int ms = 3000; ms < 60000; ms += 2500) {
-        freshness_.fail(at(ms), at(ms + 1000));
+        freshness_.noteFailure(at(ms), at(ms + 1000));
         CHECK(freshness_.mayServeCallers(at(ms + 2500), true));
         CHECK(freshness_.mayServeCallers(at(ms + 2500), false));
     }
 }
 
 // Guards against a process that stood still and serves with what it knew before, on the word of an old failure.
-TEST_CASE_FIXTURE(KnowledgeAge, "freshness, process that stood still, must ask again first")
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, process that stood still, must ask again first")
 {
     freshness_.confirm(at(0));
-    freshness_.fail(at(1000), at(2000));
+    freshness_.noteFailure(at(1000), at(2000));
     CHECK_FALSE(freshness_.mayServeCallers(at(20000), true));
-    freshness_.fail(at(20000), at(20100));
+    freshness_.noteFailure(at(20000), at(20100));
     CHECK(freshness_.mayServeCallers(at(20100), true));
 }
 
-TEST_CASE_FIXTURE(KnowledgeAge, "freshness, confirmations out of order, keep the newest")
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, confirmations out of order, keep the newest")
 {
     freshness_.confirm(at(5000));
     freshness_.confirm(at(1000));
@@ -70,9 +70,9 @@
     CHECK(freshness_.isOlderThan(Millis(999), at(6000)));
 }
 
-TEST_CASE_FIXTURE(KnowledgeAge, "freshness, failure before the last confirmation, does not count")
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, failure before the last confirmation, does not count")
 {
-    freshness_.fail(at(1000), at(2000));
+    freshness_.noteFailure(at(1000), at(2000));
     CHECK(freshness_.hasFailedSince(at(0)));
     CHECK_FALSE(freshness_.hasFailedSince(at(1000)));
     freshness_.confirm(at(2500));
--- a/tests/unit/HomeFleetTest.cpp
+++ b/tests/unit/HomeFleetTest.cpp
@@ -15,13 +15,13 @@
     load.nodes = 2 * homes;
     load.requestsPerSecond = 6.0 * homes;
     load.burst = burst;
-    load.burstLasts = Millis(2700);
+    load.burstDuration = Millis(2700);
     return load;
 }
 
-HomeFleetOutcome play(const HomeFleetLoad &load, HomePolicy policy, std::uint32_t seed)
+HomeFleetOutcome run(const HomeFleetLoad &load, HomePolicy policy, std::uint32_t seed)
 {
-    return HomeFleetModel(load, policy, seed).play();
+    return HomeFleetModel(load, policy, seed).run();
 }
 
 } // namespace
@@ -35,9 +35,9 @@
     for (const int homes : {12, 130}) {
         for (const std::uint32_t seed : {1U, 2U, 3U}) {
             const HomeFleetLoad load = burstOn(homes, moreThanFull);
-            const HomeFleetOutcome ours = play(load, HomePolicy::Product, seed);
-            const HomeFleetOutcome any = play(load, HomePolicy::Random, seed);
-            const HomeFleetOutcome best = play(load, HomePolicy::Omniscient, seed);
+            const HomeFleetOutcome ours = run(load, HomePolicy::Product, seed);
+            const HomeFleetOutcome any = run(load, HomePolicy::Random, seed);
+            const HomeFleetOutcome best = run(load, HomePolicy::Oracle, seed);
             MESSAGE(homes << " homes, refused " << ours.refusedShare() << ", in time " << ours.inTimeShare()
                           << "; any home " << any.inTimeShare() << "; at best " << best.inTimeShare());
             CHECK(ours.refusedShare() < hardlyAnybody);
--- a/tests/unit/HomeFloorTest.cpp
+++ b/tests/unit/HomeFloorTest.cpp
@@ -12,9 +12,9 @@
 
 /** The platform's store, for one sheet: conditional updates only. */
 struct Store {
-    PledgeSheet sheet;
+    PledgeTable sheet;
 
-    bool update(const PledgeSheet &proposal)
+    bool update(const PledgeTable &proposal)
     {
         if (proposal.version != sheet.version) {
             return false;
@@ -37,7 +37,7 @@
     std::uint32_t inService = 0;
     bool up = true;
     /** A write is on its way: its proposal, and whether the store took it. */
-    std::optional<PledgeSheet> sent;
+    std::optional<PledgeTable> sent;
     bool arrived = false;
     bool taken = false;
 };
@@ -154,10 +154,10 @@
             home.up = false;
             return true;
         case 7:
-            if (home.sent || home.floor.knownSheet().version == store.sheet.version) {
+            if (home.sent || home.floor.knownTable().version == store.sheet.version) {
                 return false;
             }
-            home.floor.learn(store.sheet);
+            home.floor.updateTable(store.sheet);
             return true;
         default:
             if (home.up) {
@@ -175,8 +175,8 @@
         for (const Home &home : homes) {
             out += "|" + std::to_string(home.inService) + "," + std::to_string(home.up) + ","
                    + std::to_string(home.floor.pledge()) + "," + std::to_string(home.floor.mustKeep()) + ","
-                   + std::to_string(home.floor.mayEject()) + "," + home.floor.knownSheet().json()
-                   + std::to_string(home.floor.knownSheet().version == store.sheet.version)
+                   + std::to_string(home.floor.mayEject()) + "," + home.floor.knownTable().json()
+                   + std::to_string(home.floor.knownTable().version == store.sheet.version)
                    + (home.sent ? home.sent->json() + std::to_string(home.sent->version == store.sheet.version) : "-")
                    + std::to_string(home.arrived) + std::to_string(home.taken);
         }
@@ -328,11 +328,11 @@
 
 TEST_CASE("pledge sheet, written and read, is the same and garbage is refused")
 {
-    PledgeSheet sheet;
+    PledgeTable sheet;
     sheet.set(Pledge{{"a", 7}, 2, 3});
-    const auto parsed = PledgeSheet::parse(4, sheet.json());
+    const auto parsed = PledgeTable::parse(4, sheet.json());
     REQUIRE(parsed);
     CHECK(parsed->find({"a", 7})->pledge == 2);
-    CHECK_FALSE(PledgeSheet::parse(1, "{}"));
-    CHECK_FALSE(PledgeSheet::parse(1, "nonsense"));
+    CHECK_FALSE(PledgeTable::parse(1, "{}"));
+    CHECK_FALSE(PledgeTable::parse(1, "nonsense"));
 }
--- a/tests/unit/HomeRankingTest.cpp
+++ b/tests/unit/HomeRankingTest.cpp
@@ -12,23 +12,24 @@
 struct FourHomes {
     HomeChoice choose(bool idempotent = true, const std::set<std::string> &without = {}, double kilobytes = 0.0)
     {
-        HomeNeed need;
-        need.answerKilobytes = kilobytes;
-        need.repeatable = idempotent;
+        HomeQuery need;
+        need.responseKilobytes = kilobytes;
+        need.retryable = idempotent;
         need.priority = 1;
         need.untilObjective = Millis(1000);
         need.untilDeadline = Millis(3000);
-        need.work = Millis(200);
+        need.workTime = Millis(200);
         return ranking.choose(homes, without, need, now);
     }
 
-    void load(const std::string &node, std::int32_t freeSlots, Millis wait, double doubt, std::int32_t slots = 3)
+    void load(const std::string &node, std::int32_t freeSlots, Millis wait, double grayProbability,
+              std::int32_t slots = 3)
     {
         HomeLoad out;
         out.slots = slots;
         out.freeSlots = freeSlots;
         out.wait = wait;
-        out.doubt = doubt;
+        out.grayProbability = grayProbability;
         ranking.noteLoad(node, out, 1, now);
     }
 
@@ -55,7 +56,7 @@
     load("a2", 0, Millis(120), 0.02);
     const HomeChoice choice = choose();
     CHECK(choice.node == "a1");
-    CHECK(choice.patience >= Millis(100));
+    CHECK(choice.queueTimeout >= Millis(100));
 }
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, a large answer, waits in the region where a small one goes to another")
@@ -112,7 +113,7 @@
         load(home.node, 0, Millis(3000), 0.02);
     }
     const HomeChoice choice = choose();
-    CHECK(choice.hopeless);
+    CHECK(choice.missesDeadline);
     CHECK(choice.wait >= Millis(2900));
 }
 
@@ -135,7 +136,7 @@
     load("a2", 3, Millis(0), 0.6);
     const HomeChoice choice = choose(false, {"b1", "far"});
     CHECK(choice.node == "a2");
-    CHECK(choice.acceptsDoubt);
+    CHECK(choice.acceptsGray);
 }
 
 TEST_CASE_FIXTURE(FourHomes,
@@ -150,7 +151,7 @@
     // A link fell silent, and three of six bookings that were sent again over a fresh one found the slots taken. The
     // failed path counted against waiting there, though there was no other home, and they were refused.
     ranking.notePathFailure("a1");
-    CHECK(choose(false, {"a2", "b1", "far"}).patience >= Millis(2000));
+    CHECK(choose(false, {"a2", "b1", "far"}).queueTimeout >= Millis(2000));
 }
 
 TEST_CASE_FIXTURE(FourHomes,
@@ -170,16 +171,16 @@
     load("b1", 0, Millis(4000), 0.02);
     const HomeChoice choice = choose();
     CHECK(choice.node == "far");
-    CHECK_FALSE(choice.hopeless);
+    CHECK_FALSE(choice.missesDeadline);
 }
 
 TEST_CASE_FIXTURE(FourHomes,
                   "home ranking, homes refused for doubt, are left alone, the own zone's for the shortest time")
 {
-    ranking.noteDoubtful(homes[0], now);
-    ranking.noteDoubtful(homes[1], now);
-    ranking.noteDoubtful(homes[2], now);
-    ranking.noteDoubtful(homes[3], now);
+    ranking.noteLikelyGray(homes[0], now);
+    ranking.noteLikelyGray(homes[1], now);
+    ranking.noteLikelyGray(homes[2], now);
+    ranking.noteLikelyGray(homes[3], now);
     CHECK(choose().node.empty());
     now += Millis(1100);
     CHECK(choose().node[0] == 'a');
@@ -197,12 +198,12 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, server that turns requests away, comes after one of the next zone")
 {
-    HomeLoad shedding;
-    shedding.freeSlots = 3;
-    shedding.doubt = 0.02;
-    shedding.shedding = 0.55;
-    ranking.noteLoad("a1", shedding, 1, now);
-    ranking.noteLoad("a2", shedding, 1, now);
+    HomeLoad shedRate;
+    shedRate.freeSlots = 3;
+    shedRate.grayProbability = 0.02;
+    shedRate.shedRate = 0.55;
+    ranking.noteLoad("a1", shedRate, 1, now);
+    ranking.noteLoad("a2", shedRate, 1, now);
     load("b1", 3, Millis(0), 0.02);
     CHECK(choose().node == "b1");
 }
@@ -212,8 +213,8 @@
     ranking.notePathFailure("a1");
     CHECK(choose().node == "a2");
     CHECK(choose(true, {"a2", "b1", "far"}).node == "a1");
-    ranking.notePathGood("a1");
-    CHECK_FALSE(ranking.isPathBad("a1"));
+    ranking.notePathRecovered("a1");
+    CHECK_FALSE(ranking.isPathFailed("a1"));
 }
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, path that failed, stays last until a probe says that it is good")
@@ -223,7 +224,7 @@
     ranking.notePathFailure("a1");
     now += std::chrono::seconds(20);
     CHECK(choose(false, {"a2"}).node == "b1");
-    ranking.notePathGood("a1");
+    ranking.notePathRecovered("a1");
     CHECK(choose(false, {"a2"}).node == "a1");
 }
 
@@ -249,7 +250,7 @@
     // had been picked over the fresh one of this rank, and had faded to nothing.
     HomeLoad old;
     old.wait = Millis(3000);
-    old.doubt = 0.02;
+    old.grayProbability = 0.02;
     ranking.noteLoad("a1", old, 0, now);
     ranking.noteLoad("a2", old, 0, now);
     now += std::chrono::seconds(8);
@@ -263,9 +264,9 @@
     HomeLoad busy;
     busy.freeSlots = 0;
     busy.wait = Millis(900);
-    busy.doubt = 0.02;
+    busy.grayProbability = 0.02;
     ranking.noteLoad("a1", busy, 2, now);
     ranking.noteLoad("a2", busy, 2, now);
     CHECK(choose().node[0] == 'a');
-    CHECK_FALSE(choose().hopeless);
+    CHECK_FALSE(choose().missesDeadline);
 }
--- a/tests/unit/LinkTest.cpp
+++ b/tests/unit/LinkTest.cpp
@@ -27,18 +27,18 @@
         const std::string frame = toSender.front();
         toSender.pop_front();
         std::deque<std::string> back;
-        const auto message = sender.take(frame, [&](const std::string &one) {
+        const auto message = sender.receive(frame, [&](const std::string &one) {
             back.push_back(one);
             return true;
         });
         REQUIRE(message.has_value());
         for (const std::string &one : back) {
             if (!silent) {
-                REQUIRE(home.take(one,
-                                  [this](const std::string &next) {
-                                      toSender.push_back(next);
-                                      return true;
-                                  })
+                REQUIRE(home.receive(one,
+                                     [this](const std::string &next) {
+                                         toSender.push_back(next);
+                                         return true;
+                                     })
                             .has_value());
             }
         }
@@ -72,13 +72,13 @@
     // busy was taken for broken.
     REQUIRE(send(replyOf(1, 200000)));
     REQUIRE(send(replyOf(2, 200000)));
-    REQUIRE(send(WorkReceipt{3, {}}));
+    REQUIRE(send(WorkAck{3, {}}));
     std::size_t before = 0;
     while (true) {
         before += toSender.front().size();
         const std::optional<Message> message = deliver(true);
         if (message) {
-            CHECK(std::holds_alternative<WorkReceipt>(*message));
+            CHECK(std::holds_alternative<WorkAck>(*message));
             break;
         }
     }
@@ -103,7 +103,7 @@
         CHECK(came[i].response.status == 206);
         CHECK(came[i].response.body == replyOf(i, sizes[i]).response.body);
     }
-    CHECK(home.bytesWaiting() == 0);
+    CHECK(home.queuedBytes() == 0);
 }
 
 TEST_CASE_FIXTURE(TwoEnds, "link framer, an end that acknowledges nothing, holds back all but a few parts")
@@ -114,16 +114,16 @@
         sent += frame.size();
     }
     CHECK(sent < 64UL * 1024);
-    CHECK(home.bytesWaiting() > 400000);
+    CHECK(home.queuedBytes() > 400000);
 }
 
 TEST_CASE_FIXTURE(TwoEnds, "link framer, frames that no peer writes, are malformed")
 {
     const auto nothing = [](const std::string &) { return true; };
-    CHECK_FALSE(sender.take("", nothing).has_value());
-    CHECK_FALSE(sender.take("\x09", nothing).has_value());
-    CHECK_FALSE(sender.take("\x03", nothing).has_value());
-    CHECK_FALSE(sender.take(std::string(1, '\0') + "garbage", nothing).has_value());
+    CHECK_FALSE(sender.receive("", nothing).has_value());
+    CHECK_FALSE(sender.receive("\x09", nothing).has_value());
+    CHECK_FALSE(sender.receive("\x03", nothing).has_value());
+    CHECK_FALSE(sender.receive(std::string(1, '\0') + "garbage", nothing).has_value());
 }
 
 TEST_CASE_FIXTURE(TwoEnds, "link framer, parts without end, are refused")
@@ -132,19 +132,19 @@
     const auto nothing = [](const std::string &) { return true; };
     bool refused = false;
     for (int i = 0; i < 10 && !refused; ++i) {
-        refused = !sender.take(part, nothing).has_value();
+        refused = !sender.receive(part, nothing).has_value();
     }
     CHECK(refused);
 }
 
 TEST_CASE("round trip, a path of which nothing is known, is given what a healthy one may take")
 {
-    CHECK(RoundTrip().timeout(near) == near);
+    CHECK(RttEstimator().timeout(near) == near);
 }
 
 TEST_CASE("round trip, a quiet path, is in doubt as soon as any other")
 {
-    RoundTrip trip;
+    RttEstimator trip;
     for (int i = 0; i < 50; ++i) {
         trip.add(std::chrono::milliseconds(3 + i % 2));
     }
@@ -155,7 +155,7 @@
 {
     // Receipts of a node with a tenth of a core came 100 to 400 ms after the Work. With 200 ms for every path thirty
     // sound paths a second were taken for broken, and each was tried by the whole region.
-    RoundTrip trip;
+    RttEstimator trip;
     for (int i = 0; i < 50; ++i) {
         trip.add(std::chrono::milliseconds(100 + 300 * (i % 2)));
     }
@@ -165,11 +165,11 @@
 
 TEST_CASE("round trip, a false alarm, doubles the timeout until an answer is measured")
 {
-    RoundTrip trip;
+    RttEstimator trip;
     trip.add(std::chrono::milliseconds(3));
-    trip.noteFalseAlarm();
+    trip.noteSpuriousTimeout();
     CHECK(trip.timeout(near) == 2 * near);
-    trip.noteFalseAlarm();
+    trip.noteSpuriousTimeout();
     CHECK(trip.timeout(near) == 4 * near);
     trip.add(std::chrono::milliseconds(3));
     CHECK(trip.timeout(near) == near);
@@ -177,7 +177,7 @@
 
 TEST_CASE("round trip, an answer that a cut held up for seconds, does not hide the next cut")
 {
-    RoundTrip trip;
+    RttEstimator trip;
     for (int i = 0; i < 20; ++i) {
         trip.add(std::chrono::milliseconds(3));
     }
--- a/tests/unit/LocalServerTest.cpp
+++ b/tests/unit/LocalServerTest.cpp
@@ -32,7 +32,7 @@
 TEST_CASE_FIXTURE(BesideServer, "local server, first announcement, serves")
 {
     CHECK(state.serving() == nullptr);
-    CHECK(state.take(says("i1", 100, 1), expected) == ServerChange::Started);
+    CHECK(state.update(says("i1", 100, 1), expected) == ServerChange::Started);
     REQUIRE(state.serving() != nullptr);
     CHECK(state.serving()->server == "i1");
 }
@@ -41,10 +41,10 @@
 {
     Announcement other = says("i1", 100, 1);
     other.service = "records";
-    CHECK(state.take(other, expected) == ServerChange::Ignored);
+    CHECK(state.update(other, expected) == ServerChange::Ignored);
     other = says("i1", 100, 1);
     other.port = 8081;
-    CHECK(state.take(other, expected) == ServerChange::Ignored);
+    CHECK(state.update(other, expected) == ServerChange::Ignored);
     CHECK(state.serving() == nullptr);
 }
 
@@ -52,49 +52,49 @@
 {
     // A server says that it drains, and is acknowledged. A heartbeat from before, held up on the way, arrives a second
     // later. Taken as news it would bring work to the server that is about to exit.
-    state.take(says("i1", 100, 4), expected);
-    CHECK(state.take(says("i1", 100, 6, ServerState::Draining), expected) == ServerChange::Left);
-    CHECK(state.take(says("i1", 100, 5), expected) == ServerChange::Ignored);
+    state.update(says("i1", 100, 4), expected);
+    CHECK(state.update(says("i1", 100, 6, ServerState::Draining), expected) == ServerChange::Stopped);
+    CHECK(state.update(says("i1", 100, 5), expected) == ServerChange::Ignored);
     CHECK(state.serving() == nullptr);
 }
 
 TEST_CASE_FIXTURE(BesideServer, "local server, farewell, keeps even newer announcements of that process out")
 {
-    state.take(says("i1", 100, 4), expected);
-    CHECK(state.takeFarewell("i1", 100) == ServerChange::Left);
-    CHECK(state.take(says("i1", 100, 9), expected) == ServerChange::Ignored);
+    state.update(says("i1", 100, 4), expected);
+    CHECK(state.deregister("i1", 100) == ServerChange::Stopped);
+    CHECK(state.update(says("i1", 100, 9), expected) == ServerChange::Ignored);
     CHECK(state.serving() == nullptr);
 }
 
 TEST_CASE_FIXTURE(BesideServer, "local server, restart under the old id, is a new process and counts anew")
 {
-    state.take(says("i1", 100, 50), expected);
-    state.takeFarewell("i1", 100);
-    CHECK(state.take(says("i1", 200, 1), expected) == ServerChange::Started);
+    state.update(says("i1", 100, 50), expected);
+    state.deregister("i1", 100);
+    CHECK(state.update(says("i1", 200, 1), expected) == ServerChange::Started);
     CHECK(state.serving()->incarnation == 200);
 }
 
 TEST_CASE_FIXTURE(BesideServer, "local server, heartbeat of a process that crashed, does not replace its successor")
 {
     // The heartbeat was held up by a cut; its sender has crashed meanwhile and another server started at the address.
-    state.take(says("i2", 200, 1), expected);
-    CHECK(state.take(says("i1", 100, 99), expected) == ServerChange::Ignored);
+    state.update(says("i2", 200, 1), expected);
+    CHECK(state.update(says("i1", 100, 99), expected) == ServerChange::Ignored);
     CHECK(state.serving()->server == "i2");
-    CHECK(state.takeFarewell("i1", 100) == ServerChange::None);
+    CHECK(state.deregister("i1", 100) == ServerChange::None);
     CHECK(state.serving()->server == "i2");
 }
 
 TEST_CASE_FIXTURE(BesideServer, "local server, drained and ready again, serves again")
 {
-    state.take(says("i1", 100, 1), expected);
-    state.take(says("i1", 100, 2, ServerState::Draining), expected);
-    CHECK(state.take(says("i1", 100, 3), expected) == ServerChange::Started);
+    state.update(says("i1", 100, 1), expected);
+    state.update(says("i1", 100, 2, ServerState::Draining), expected);
+    CHECK(state.update(says("i1", 100, 3), expected) == ServerChange::Started);
 }
 
 TEST_CASE_FIXTURE(BesideServer, "local server, another one answers at its address, is unknown until it says who it is")
 {
-    state.take(says("i1", 100, 1), expected);
+    state.update(says("i1", 100, 1), expected);
     state.noteReplaced();
     CHECK(state.serving() == nullptr);
-    CHECK(state.take(says("i2", 200, 1), expected) == ServerChange::Started);
+    CHECK(state.update(says("i2", 200, 1), expected) == ServerChange::Started);
 }
--- a/tests/unit/LogTest.cpp
+++ b/tests/unit/LogTest.cpp
@@ -16,13 +16,13 @@
     int ends[2] = {0, 0};
     REQUIRE(pipe(ends) == 0);
     constexpr std::size_t capacity = 10000;
-    LinePipe lines(nonBlockingSink(ends[1]), capacity);
+    LineWriter lines(nonBlockingSink(ends[1]), capacity);
     const std::string line(99, 'x');
     for (int i = 0; i < 5000; ++i) {
         lines.add(line);
         lines.flush();
     }
-    CHECK(lines.leftOut() > 0);
+    CHECK(lines.droppedLines() > 0);
     CHECK(lines.pending() <= capacity);
     std::string scratch(1 << 20, '\0');
     REQUIRE(read(ends[0], scratch.data(), scratch.size()) > 0);
@@ -47,9 +47,9 @@
     for (int i = 0; i < 5; ++i) {
         log.writeRequest(Severity::Warning, "refused", {{"request", "f"}});
     }
-    CHECK(log.about("f").size() == 5);
+    CHECK(log.matching("f").size() == 5);
     log.write(Severity::Info, "config_in_force", {{"version", "r12"}});
-    CHECK(log.about("r12").size() == 1);
+    CHECK(log.matching("r12").size() == 1);
     log.flush();
     CHECK(log.newest(1).front().name == "log_lines_left_out");
 }
--- a/tests/unit/MessageDeflateTest.cpp
+++ b/tests/unit/MessageDeflateTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t most = 200000;
+constexpr std::size_t maxBytes = 200000;
 
 /** Both ends of one direction of a link. */
 struct OneDirection {
@@ -31,7 +31,7 @@
         for (std::size_t i = 0; i < size; ++i) {
             message.push_back(static_cast<char>((i * i * 31 + i / 7) & 0xff));
         }
-        const Expected<std::string> back = inflater.inflate(deflater.deflate(message), most);
+        const Expected<std::string> back = inflater.inflate(deflater.deflate(message), maxBytes);
         REQUIRE(back.has_value());
         CHECK(*back == message);
     }
@@ -43,7 +43,7 @@
     std::size_t sent = 0;
     for (int i = 0; i < 100; ++i) {
         const std::string frame = deflater.deflate(message(i));
-        REQUIRE(inflater.inflate(frame, most).value_or("") == message(i));
+        REQUIRE(inflater.inflate(frame, maxBytes).value_or("") == message(i));
         plain += message(i).size();
         sent += frame.size();
     }
@@ -56,10 +56,10 @@
     // killed for the memory that they would take.
     const std::string frame = deflater.deflate(std::string(900000, 'x'));
     REQUIRE(frame.size() < 10000);
-    CHECK_FALSE(inflater.inflate(frame, most).has_value());
+    CHECK_FALSE(inflater.inflate(frame, maxBytes).has_value());
 }
 
 TEST_CASE_FIXTURE(OneDirection, "message deflate, bytes that are no stream, are refused")
 {
-    CHECK_FALSE(inflater.inflate("\xff\xff\xff\xff not compressed", most).has_value());
+    CHECK_FALSE(inflater.inflate("\xff\xff\xff\xff not compressed", maxBytes).has_value());
 }
--- a/tests/unit/PlatformDialectTest.cpp
+++ b/tests/unit/PlatformDialectTest.cpp
@@ -69,7 +69,7 @@
     REQUIRE(decoded);
     CHECK(decoded->id == "a1");
     CHECK(decoded->host == "desk.example");
-    CHECK(decoded->patience == Millis(4000));
+    CHECK(decoded->timeout == Millis(4000));
     const HeaderList &headers = decoded->forward.headers;
     CHECK(headerValue(headers, names::callerService) == "desk");
     CHECK(headerValue(headers, names::expectedServer).empty());
@@ -93,10 +93,10 @@
 
 TEST_CASE("caller dialect, refusal, carries the id and the time to come back as a fraction of seconds")
 {
-    const HttpResponse response = ownAnswer(503, "a1", "no-room", Millis(350));
+    const HttpResponse response = errorResponse(503, "a1", "no-room", Millis(350));
     CHECK(headerValue(response.headers, "Retry-After") == "0.350");
     CHECK(headerValue(response.headers, names::requestId) == "a1");
-    CHECK(headerValue(ownAnswer(404, "a1", "no-route", Millis(0)).headers, "Retry-After").empty());
+    CHECK(headerValue(errorResponse(404, "a1", "no-route", Millis(0)).headers, "Retry-After").empty());
 }
 
 TEST_CASE("server dialect, heartbeat, is decoded into an announcement")
@@ -131,11 +131,11 @@
 TEST_CASE("server dialect, farewell with or without its start, names the process that goes")
 {
     const auto plain = decodeServerCall(serverCall(names::leaveCall, ""));
-    REQUIRE((plain && *plain && (*plain)->farewell));
-    CHECK_FALSE((*plain)->farewell->incarnation);
+    REQUIRE((plain && *plain && (*plain)->deregistration));
+    CHECK_FALSE((*plain)->deregistration->incarnation);
     const auto dated = decodeServerCall(serverCall(names::leaveCall, R"({"born":1700000000000})"));
-    REQUIRE((dated && *dated && (*dated)->farewell));
-    CHECK((*dated)->farewell->incarnation == 1700000000000);
+    REQUIRE((dated && *dated && (*dated)->deregistration));
+    CHECK((*dated)->deregistration->incarnation == 1700000000000);
     CHECK_FALSE(decodeServerCall(HttpRequest{"GET", "/v1/status", {}, ""}));
 }
 
@@ -154,9 +154,9 @@
 
 TEST_CASE("server dialect, answer that names another request, does not belong to this one")
 {
-    CHECK(belongsTo(answer(200, {{names::requestId, "a1"}}), "a1"));
-    CHECK_FALSE(belongsTo(answer(200, {{names::requestId, "a2"}}), "a1"));
-    CHECK(belongsTo(answer(503, {}), "a1"));
+    CHECK(isResponseTo(answer(200, {{names::requestId, "a1"}}), "a1"));
+    CHECK_FALSE(isResponseTo(answer(200, {{names::requestId, "a2"}}), "a1"));
+    CHECK(isResponseTo(answer(503, {}), "a1"));
 }
 
 TEST_CASE("configuration decoder, operator's document, becomes routes with their promises")
@@ -166,17 +166,17 @@
     REQUIRE(findings.empty());
     CHECK(config.version == 12);
     CHECK(config.limits.bodyBytes == 67108864);
-    CHECK(config.limits.idle == Millis(15000));
+    CHECK(config.limits.idleTimeout == Millis(15000));
     const Route *browse = config.routeFor("desk.example", "/dates/1");
     REQUIRE(browse != nullptr);
     CHECK(browse->idempotent);
     CHECK(browse->timeout == Millis(1500));
-    CHECK(browse->mostServers == 2);
-    CHECK(browse->parts.size() == 2);
+    CHECK(browse->maxAttempts == 2);
+    CHECK(browse->services.size() == 2);
     const Route *book = config.routeFor("desk.example", "/seats/1");
     REQUIRE(book != nullptr);
     CHECK_FALSE(book->idempotent);
-    CHECK(book->parts.front().service == "desk");
+    CHECK(book->services.front().service == "desk");
     CHECK(book->timeout > std::chrono::hours(1));
 }
 
@@ -214,14 +214,14 @@
 
 TEST_CASE("roster entry, written and read, is the same; another writer's names no home")
 {
-    const RosterEntry entry{"n1", Endpoint{"10.1.0.5", 7380}, "z1", "r1", "desk", 0};
-    const auto read = decodeRosterEntry("n1", encodeRosterEntry(entry), 9);
+    const RegistryEntry entry{"n1", Endpoint{"10.1.0.5", 7380}, "z1", "r1", "desk", 0};
+    const auto read = decodeRegistryEntry("n1", encodeRegistryEntry(entry), 9);
     REQUIRE(read);
     CHECK(read->links == entry.links);
     CHECK(read->service == "desk");
     CHECK(read->revision == 9);
-    CHECK_FALSE(decodeRosterEntry("n1", R"({"links":"nowhere","zone":"z","region":"r","service":"s"})", 9));
-    CHECK_FALSE(decodeRosterEntry("n1", "17", 9));
+    CHECK_FALSE(decodeRegistryEntry("n1", R"({"links":"nowhere","zone":"z","region":"r","service":"s"})", 9));
+    CHECK_FALSE(decodeRegistryEntry("n1", "17", 9));
 }
 
 TEST_CASE("bounds decoder, list of texts or object, gives the same figures")
--- a/tests/unit/RouteOriginsTest.cpp
+++ b/tests/unit/RouteOriginsTest.cpp
@@ -29,18 +29,18 @@
     for (int i = 0; i < 10; ++i) {
         origins.note("pack-index", "z1", "ledger");
     }
-    CHECK_FALSE(origins.isInnerCall("pack-index"));
+    CHECK_FALSE(origins.isNestedCall("pack-index"));
     for (int i = 0; i < 5; ++i) {
         origins.note("pack-index", "z2", "ledger");
     }
-    CHECK(origins.isInnerCall("pack-index"));
+    CHECK(origins.isNestedCall("pack-index"));
 }
 
 TEST_CASE_FIXTURE(MixedZones, "route origins, requests from VMs of all services, are callers'")
 {
     for (int i = 0; i < 300; ++i) {
         origins.note("rate-lookup", "z1", i % 4 < 2 ? "ledger" : (i % 4 == 2 ? "cardview" : "packhouse"));
-        CHECK_FALSE(origins.isInnerCall("rate-lookup"));
+        CHECK_FALSE(origins.isNestedCall("rate-lookup"));
     }
 }
 
@@ -49,7 +49,7 @@
     for (int i = 0; i < 1000; ++i) {
         origins.note("rate-lodge", "ledger-only", "ledger");
     }
-    CHECK_FALSE(origins.isInnerCall("rate-lodge"));
+    CHECK_FALSE(origins.isNestedCall("rate-lodge"));
 }
 
 TEST_CASE_FIXTURE(MixedZones, "route origins, a route that two services call, takes more requests to be known")
@@ -57,20 +57,20 @@
     for (int i = 0; i < 40; ++i) {
         origins.note("trade-check", "z1", i % 2 == 0 ? "ledger" : "cardview");
     }
-    CHECK(origins.isInnerCall("trade-check"));
+    CHECK(origins.isNestedCall("trade-check"));
 }
 
 TEST_CASE("inner call meter, a home's word, counts unless requests came while the server was idle")
 {
-    InnerCallMeter meter;
+    NestedCallTracker meter;
     const SteadyTime start(std::chrono::hours(1));
     meter.begin(1, "lodge", 1, start);
     meter.arrived("pack-index", "packhouse", start);
-    CHECK_FALSE(meter.isInnerCall("pack-index"));
-    meter.noteTold("pack-index");
-    CHECK(meter.isInnerCall("pack-index"));
+    CHECK_FALSE(meter.isNestedCall("pack-index"));
+    meter.markNested("pack-index");
+    CHECK(meter.isNestedCall("pack-index"));
     meter.end(1, start);
     meter.arrived("look-up", "cardview", start);
-    meter.noteTold("look-up");
-    CHECK_FALSE(meter.isInnerCall("look-up"));
+    meter.markNested("look-up");
+    CHECK_FALSE(meter.isNestedCall("look-up"));
 }
--- a/tests/unit/SecondSendFleetTest.cpp
+++ b/tests/unit/SecondSendFleetTest.cpp
@@ -45,7 +45,7 @@
     FleetOutcome play(const FleetLoad &load, std::uint32_t seed)
     {
         random_.seed(seed);
-        budgets_.assign(load.nodes, SecondSendBudget(tuning()));
+        budgets_.assign(load.nodes, FleetRetryBudget(tuning()));
         FleetOutcome out;
         for (Millis since = -filling; since < load.lasts; since += tick) {
             const SteadyTime now = SteadyTime(std::chrono::hours(1)) + since;
@@ -65,9 +65,9 @@
     static constexpr double slackOfFleet = 430.0;
 
 private:
-    static SecondSendTuning tuning()
+    static FleetRetryTuning tuning()
     {
-        SecondSendTuning out;
+        FleetRetryTuning out;
         out.slack = slackOfFleet;
         return out;
     }
@@ -90,17 +90,17 @@
 
     bool spend(std::size_t node, SteadyTime now)
     {
-        SecondSendBudget &own = budgets_[node];
-        const auto has = [&] { return own.has(1.0, budgets_.size(), SecondSend::AfterFailure, now); };
-        const BorrowTuning borrowing;
+        FleetRetryBudget &own = budgets_[node];
+        const auto has = [&] { return own.has(1.0, budgets_.size(), RetryReason::Failure, now); };
+        const TransferTuning borrowing;
         double borrowed = 0.0;
-        for (std::size_t asked = 0; !has() && asked < borrowing.mostLenders; ++asked) {
+        for (std::size_t asked = 0; !has() && asked < borrowing.maxDonors; ++asked) {
             const std::size_t lender =
                 boost::random::uniform_int_distribution<std::size_t>(0, budgets_.size() - 1)(random_);
             if (lender != node) {
-                const double missing = 1.0 + borrowing.ahead - borrowed;
-                const double lent = budgets_[lender].lend(missing, SecondSend::AfterFailure, budgets_.size(), now);
-                own.borrow(lent, now);
+                const double missing = 1.0 + borrowing.extraTokens - borrowed;
+                const double lent = budgets_[lender].transferOut(missing, RetryReason::Failure, budgets_.size(), now);
+                own.transferIn(lent, now);
                 borrowed += lent;
             }
         }
@@ -113,7 +113,7 @@
 
     boost::random::mt19937 random_;
     boost::random::uniform_01<double> chance_;
-    std::vector<SecondSendBudget> budgets_;
+    std::vector<FleetRetryBudget> budgets_;
 };
 
 } // namespace
@@ -151,7 +151,7 @@
         const double withoutRepeats = 1.0 - load.failedShare;
         // All second sends of the window are spent on these requests, and as many of them are shed as of the first.
         const double requestsInWindow = 10.0 / 8.5 * outcome.requests;
-        const double allowed = SecondSendTuning().share * requestsInWindow + slackOfFleet;
+        const double allowed = FleetRetryTuning().share * requestsInWindow + slackOfFleet;
         const double best = withoutRepeats + withoutRepeats * allowed / outcome.requests;
         MESSAGE("served " << outcome.servedShare() << ", without repeats " << withoutRepeats << ", at best " << best);
         CHECK(outcome.secondSends <= allowed);
--- a/tests/unit/SlotQueueTest.cpp
+++ b/tests/unit/SlotQueueTest.cpp
@@ -25,11 +25,11 @@
         SlotRequest out;
         out.id = next++;
         out.route = route;
-        out.repeatable = idempotent;
+        out.retryable = idempotent;
         out.priority = priority;
         out.objective = now + Millis(1000);
         out.deadline = now + Millis(2000);
-        out.patience = Millis(600);
+        out.queueTimeout = Millis(600);
         return out;
     }
 
@@ -41,7 +41,7 @@
     void fill()
     {
         for (int i = 0; i < 3; ++i) {
-            REQUIRE(submit(request("read", true)).verdict == SlotVerdict::Start);
+            REQUIRE(submit(request("read", true)).action == SlotAction::Start);
         }
     }
 
@@ -61,7 +61,7 @@
 TEST_CASE_FIXTURE(OneServer, "slot queue, all slots taken, never starts one more")
 {
     fill();
-    CHECK(submit(request("read", true)).verdict == SlotVerdict::Wait);
+    CHECK(submit(request("read", true)).action == SlotAction::Queue);
     CHECK(queue.poll(now).start.empty());
     queue.release(1, now);
     CHECK(queue.poll(now).start.size() == 1);
@@ -72,7 +72,7 @@
 {
     queue.clearServer();
     const SlotDecision decision = submit(request("read", true));
-    CHECK(decision.verdict == SlotVerdict::Refused);
+    CHECK(decision.action == SlotAction::Refuse);
     CHECK(decision.reason == RefusalReason::NoServer);
 }
 
@@ -82,7 +82,7 @@
     // be handed to the leaving server when a slot frees, seconds after the leaving was acknowledged.
     fill();
     const SlotRequest waiting = request("book", false);
-    REQUIRE(submit(waiting).verdict == SlotVerdict::Wait);
+    REQUIRE(submit(waiting).action == SlotAction::Queue);
     CHECK(queue.clearServer() == std::vector<std::uint64_t>{waiting.id});
     queue.release(1, now);
     CHECK(queue.poll(now).start.empty());
@@ -92,9 +92,9 @@
 {
     fill();
     const SlotRequest slow = request("browse", true, 2);
-    REQUIRE(submit(slow).verdict == SlotVerdict::Wait);
+    REQUIRE(submit(slow).action == SlotAction::Queue);
     const SlotRequest urgent = request("read", true, 1);
-    REQUIRE(submit(urgent).verdict == SlotVerdict::Wait);
+    REQUIRE(submit(urgent).action == SlotAction::Queue);
     queue.release(1, now);
     CHECK(queue.poll(now).start == std::vector<std::uint64_t>{urgent.id});
 }
@@ -104,9 +104,9 @@
     fill();
     SlotRequest late = request("read", true, 1);
     late.objective = now + Millis(50);
-    REQUIRE(submit(late).verdict == SlotVerdict::Wait);
+    REQUIRE(submit(late).action == SlotAction::Queue);
     const SlotRequest inTime = request("browse", true, 2);
-    REQUIRE(submit(inTime).verdict == SlotVerdict::Wait);
+    REQUIRE(submit(inTime).action == SlotAction::Queue);
     queue.release(1, now);
     CHECK(queue.poll(now).start == std::vector<std::uint64_t>{inTime.id});
 }
@@ -115,9 +115,9 @@
 {
     fill();
     SlotRequest impatient = request("read", true);
-    impatient.patience = Millis(20);
+    impatient.queueTimeout = Millis(20);
     const SlotDecision decision = submit(impatient);
-    CHECK(decision.verdict == SlotVerdict::Refused);
+    CHECK(decision.action == SlotAction::Refuse);
     CHECK(decision.reason == RefusalReason::Busy);
     CHECK(queue.load(1, now).wait > Millis(20));
 }
@@ -126,9 +126,9 @@
 {
     fill();
     const SlotRequest waiting = request("read", true);
-    REQUIRE(submit(waiting).verdict == SlotVerdict::Wait);
-    CHECK(queue.nextDue(now) == now + waiting.patience);
-    now += waiting.patience;
+    REQUIRE(submit(waiting).action == SlotAction::Queue);
+    CHECK(queue.nextPollTime(now) == now + waiting.queueTimeout);
+    now += waiting.queueTimeout;
     CHECK(queue.poll(now).expired == std::vector<std::uint64_t>{waiting.id});
     queue.release(1, now);
     CHECK(queue.poll(now).start.empty());
@@ -146,16 +146,16 @@
         fill();
         calendar = request("browse", true, 2);
         decision = submit(calendar);
-        if (decision.verdict == SlotVerdict::Refused) {
+        if (decision.action == SlotAction::Refuse) {
             break;
         }
-        now += calendar.patience;
+        now += calendar.queueTimeout;
         queue.poll(now);
         for (std::uint64_t id = 1; id < next; ++id) {
             queue.release(id, now);
         }
     }
-    CHECK(decision.verdict == SlotVerdict::Refused);
+    CHECK(decision.action == SlotAction::Refuse);
     CHECK(decision.reason == RefusalReason::Busy);
 }
 
@@ -172,16 +172,16 @@
     }
     fill();
     SlotRequest booking = request("book", false);
-    booking.patience = Millis(1200);
-    REQUIRE(submit(booking).verdict == SlotVerdict::Wait);
+    booking.queueTimeout = Millis(1200);
+    REQUIRE(submit(booking).action == SlotAction::Queue);
     for (int i = 0; i < 5; ++i) {
         SlotRequest other = request("read", true);
         other.objective = now + Millis(3000);
-        other.patience = Millis(1900);
-        REQUIRE(submit(other).verdict == SlotVerdict::Wait);
+        other.queueTimeout = Millis(1900);
+        REQUIRE(submit(other).action == SlotAction::Queue);
     }
     now += Millis(850);
-    const SlotQueue::Due due = queue.poll(now);
+    const SlotQueue::PollResult due = queue.poll(now);
     CHECK(std::count(due.expired.begin(), due.expired.end(), booking.id) == 1);
 }
 
@@ -189,8 +189,8 @@
 {
     fill();
     SlotRequest booking = request("book", false);
-    booking.patience = Millis(1800);
-    REQUIRE(submit(booking).verdict == SlotVerdict::Wait);
+    booking.queueTimeout = Millis(1800);
+    REQUIRE(submit(booking).action == SlotAction::Queue);
     now += Millis(850);
     CHECK(queue.poll(now).expired.empty());
 }
@@ -201,28 +201,28 @@
     // good, since it may have run; a calendar can be asked again elsewhere and shows whether the server is well again.
     failAtOnce();
     const SlotDecision booking = submit(request("book", false));
-    CHECK(booking.verdict == SlotVerdict::Refused);
-    CHECK(booking.reason == RefusalReason::Doubtful);
-    CHECK(submit(request("read", true)).verdict == SlotVerdict::Start);
+    CHECK(booking.action == SlotAction::Refuse);
+    CHECK(booking.reason == RefusalReason::LikelyGray);
+    CHECK(submit(request("read", true)).action == SlotAction::Start);
 }
 
 TEST_CASE_FIXTURE(OneServer,
                   "slot queue, one failure after the usual work time, is the request's and keeps nobody away")
 {
     queue.addResult("read", true, Millis(200), now);
-    CHECK(submit(request("book", false)).verdict == SlotVerdict::Start);
+    CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, doubtful server, gets idempotent trials one at a time and not at once again")
 {
     failAtOnce();
     const SlotRequest trial = request("read", true);
-    REQUIRE(submit(trial).verdict == SlotVerdict::Start);
-    CHECK(submit(request("read", true)).reason == RefusalReason::Doubtful);
+    REQUIRE(submit(trial).action == SlotAction::Start);
+    CHECK(submit(request("read", true)).reason == RefusalReason::LikelyGray);
     queue.release(trial.id, now);
-    CHECK(submit(request("read", true)).reason == RefusalReason::Doubtful);
+    CHECK(submit(request("read", true)).reason == RefusalReason::LikelyGray);
     now += Millis(160);
-    CHECK(submit(request("read", true)).verdict == SlotVerdict::Start);
+    CHECK(submit(request("read", true)).action == SlotAction::Start);
 }
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, good trials, bring the server back for all work")
@@ -231,22 +231,22 @@
     for (int i = 0; i < 6; ++i) {
         queue.addResult("read", false, Millis(200), now);
     }
-    CHECK(submit(request("book", false)).verdict == SlotVerdict::Start);
+    CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, sender that knows of the doubt, is let in")
 {
     failAtOnce();
     SlotRequest booking = request("book", false);
-    booking.acceptsDoubt = true;
-    CHECK(submit(booking).verdict == SlotVerdict::Start);
+    booking.acceptsGray = true;
+    CHECK(submit(booking).action == SlotAction::Start);
 }
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, server turns gray while bookings wait, gives them back for other homes")
 {
     fill();
     const SlotRequest booking = request("book", false);
-    REQUIRE(submit(booking).verdict == SlotVerdict::Wait);
+    REQUIRE(submit(booking).action == SlotAction::Queue);
     failAtOnce();
     CHECK(queue.poll(now).expired == std::vector<std::uint64_t>{booking.id});
 }
@@ -260,7 +260,7 @@
     int trials = 0;
     for (const SteadyTime end = now + std::chrono::seconds(12); now < end; now += Millis(20)) {
         const SlotRequest trial = request("read", true);
-        if (submit(trial).verdict == SlotVerdict::Start) {
+        if (submit(trial).action == SlotAction::Start) {
             ++trials;
             failAtOnce();
             queue.release(trial.id, now);
@@ -275,13 +275,13 @@
 // sender knocks whenever a trial may be made.
 TEST_CASE_FIXTURE(OneServer, "slot queue, gray phase of six seconds in a large fleet, costs six trials at most")
 {
-    const auto trialsOf = [&](bool acceptsDoubt) {
+    const auto trialsOf = [&](bool acceptsGray) {
         int trials = 0;
         failAtOnce();
         for (const SteadyTime end = now + Millis(6500); now < end; now += Millis(20)) {
             SlotRequest trial = request("read", true);
-            trial.acceptsDoubt = acceptsDoubt;
-            if (submit(trial).verdict == SlotVerdict::Start) {
+            trial.acceptsGray = acceptsGray;
+            if (submit(trial).action == SlotAction::Start) {
                 ++trials;
                 failAtOnce();
                 queue.release(trial.id, now);
@@ -302,7 +302,7 @@
     // A certificate look-up that a gray server failed is sent to a second server, and there is no third. That one was
     // gray too, its home knew it, and let the look-up in as a trial.
     failAtOnce();
-    CHECK(submit(request("read", false)).reason == RefusalReason::Doubtful);
+    CHECK(submit(request("read", false)).reason == RefusalReason::LikelyGray);
 }
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, server that surely is gray, refuses also those that say they know of it")
@@ -312,8 +312,8 @@
     failAtOnce();
     failAtOnce();
     SlotRequest booking = request("book", false);
-    booking.acceptsDoubt = true;
-    CHECK(submit(booking).reason == RefusalReason::Doubtful);
+    booking.acceptsGray = true;
+    CHECK(submit(booking).reason == RefusalReason::LikelyGray);
 }
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, trials end well, server is back after three of them")
@@ -324,7 +324,7 @@
     for (int i = 0; i < 3; ++i) {
         queue.addResult("read", false, Millis(200), now);
     }
-    CHECK(submit(request("book", false)).verdict == SlotVerdict::Start);
+    CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
 TEST_CASE_FIXTURE(OneServer,
@@ -332,17 +332,17 @@
 {
     failAtOnce();
     queue.setServer(3, true, now);
-    CHECK(submit(request("book", false)).verdict == SlotVerdict::Start);
+    CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
 TEST_CASE("gray filter, silence after a failure, moves back to the usual doubt by itself")
 {
     GrayFilter filter;
-    const double usual = filter.doubt(start);
+    const double usual = filter.grayProbability(start);
     filter.addFailure(150.0, start);
-    CHECK(filter.doubt(start) > 0.9);
-    CHECK(filter.doubt(start + std::chrono::seconds(3)) < filter.doubt(start));
-    CHECK(filter.doubt(start + std::chrono::seconds(60)) == doctest::Approx(usual).epsilon(0.01));
+    CHECK(filter.grayProbability(start) > 0.9);
+    CHECK(filter.grayProbability(start + std::chrono::seconds(3)) < filter.grayProbability(start));
+    CHECK(filter.grayProbability(start + std::chrono::seconds(60)) == doctest::Approx(usual).epsilon(0.01));
 }
 
 TEST_CASE("gray filter, phase that has lasted long, is expected to go on as long again")
@@ -354,7 +354,8 @@
         lasting.addFailure(500.0, start + std::chrono::seconds(second));
     }
     const Duration pause = std::chrono::seconds(5);
-    CHECK(lasting.doubt(start + std::chrono::seconds(15) + pause) > brief.doubt(start + pause) + 0.1);
+    CHECK(lasting.grayProbability(start + std::chrono::seconds(15) + pause)
+          > brief.grayProbability(start + pause) + 0.1);
 }
 
 TEST_CASE("gray filter, phase that fails nearly everything, is over after few good answers")
@@ -370,8 +371,8 @@
         all.addSuccess(start);
         half.addSuccess(start);
     }
-    CHECK(all.doubt(start) < 0.45);
-    CHECK(half.doubt(start) > 0.45);
+    CHECK(all.grayProbability(start) < 0.45);
+    CHECK(half.grayProbability(start) > 0.45);
 }
 
 TEST_CASE("gray filter, a failure among many good answers, is less than a failure after silence")
@@ -383,5 +384,5 @@
     busy.addFailure(50.0, start);
     GrayFilter silent;
     silent.addFailure(50.0, start);
-    CHECK(busy.doubt(start) < silent.doubt(start));
+    CHECK(busy.grayProbability(start) < silent.grayProbability(start));
 }
--- a/tests/unit/WatchElectionTest.cpp
+++ b/tests/unit/WatchElectionTest.cpp
@@ -127,8 +127,8 @@
         }
         election.setReachable(reached, at(0));
         const bool watches = election.role(fresh, at(0)) == WatchRole::Watcher;
-        CHECK((watches || !election.others().empty()));
-        for (const std::string &other : election.others()) {
+        CHECK((watches || !election.otherWatchers().empty()));
+        for (const std::string &other : election.otherWatchers()) {
             CHECK(std::count(reached.begin(), reached.end(), other) == 1);
         }
     }
@@ -169,11 +169,11 @@
     };
     for (auto &[node, election] : elections_) {
         for (const std::string &watcher : cutOff) {
-            election.noteStore(watcher, false, at(0));
+            election.noteStoreReachable(watcher, false, at(0));
         }
     }
     CHECK(seeAll(at(100)).size() == watchers);
-    CHECK(seeAll(at(static_cast<int>(WatchElectionTuning().passedOverFor.count()))).empty());
+    CHECK(seeAll(at(static_cast<int>(WatchElectionTuning().excludedFor.count()))).empty());
 }
 
 // Guards against a whole region that watches, with a watcher's short pauses, while the store is away for everybody.
@@ -184,7 +184,7 @@
     std::size_t watching = 0;
     for (auto &[node, election] : elections_) {
         for (const std::string &other : allBut(node)) {
-            election.noteStore(other, false, at(0));
+            election.noteStoreReachable(other, false, at(0));
         }
         election.setReachable(allBut(node), at(100));
         watching += election.role(old, at(100)) == WatchRole::Watcher ? 1 : 0;
--- a/tools/demo.cpp
+++ b/tools/demo.cpp
@@ -16,98 +16,98 @@
 using namespace waxwing::testing;
 
 constexpr int clients = 12;
-constexpr Millis servedFor{8000};
+constexpr Millis servingTime{8000};
 
-struct Tally {
+struct Results {
     std::map<std::string, std::map<std::string, int>> outcomes;
     std::map<std::string, std::string> booked;
-    int wrongAnswers = 0;
+    int wrongResponses = 0;
     int number = 0;
     bool stop = false;
 };
 
-void readOnce(Fleet &fleet, Tally &tally, int node, const std::string &service)
+void readOnce(Fleet &fleet, Results &results, int node, const std::string &service)
 {
-    const std::string id = "read-" + std::to_string(++tally.number);
-    const Answer answer =
+    const std::string id = "read-" + std::to_string(++results.number);
+    const CallResult answer =
         fleet.send(node, HttpRequest{"GET", "/sessions/" + id, {{"Host", service}, {"X-Request-Id", id}}, {}});
-    ++tally.outcomes[service + " reads"][answer.outcome.empty() ? "no answer" : answer.outcome];
+    ++results.outcomes[service + " reads"][answer.outcome.empty() ? "no answer" : answer.outcome];
     const bool whole = answer.status != 200 || answer.body.find("\"" + id + "\"") != std::string::npos;
-    tally.wrongAnswers += whole ? 0 : 1;
+    results.wrongResponses += whole ? 0 : 1;
 }
 
 /** A booking or redemption with a ticket, sent again through the other nodes until its outcome is known. */
-void writeOnce(Fleet &fleet, Tally &tally, int node, const std::string &service)
+void writeOnce(Fleet &fleet, Results &results, int node, const std::string &service)
 {
-    const std::string id = "write-" + std::to_string(++tally.number);
+    const std::string id = "write-" + std::to_string(++results.number);
     const std::string ticket = fleet.ticket(node);
     std::string outcome;
     for (int attempt = 0; attempt < 3 && outcome != "ran"; ++attempt) {
         const HttpRequest request{
             "POST", "/bookings", {{"Host", service}, {"X-Request-Id", id}, {"Idempotency-Key", ticket}}, "one"};
-        outcome = fleet.send((node + attempt) % fleet.plan().nodes, request).outcome;
+        outcome = fleet.send((node + attempt) % fleet.options().nodes, request).outcome;
         if (outcome != "ran") {
             pause(Millis(100));
         }
     }
-    ++tally.outcomes[service + " writes"][outcome.empty() ? "no answer" : outcome];
-    tally.booked[id] = outcome;
+    ++results.outcomes[service + " writes"][outcome.empty() ? "no answer" : outcome];
+    results.booked[id] = outcome;
 }
 
-int judge(Fleet &fleet, const Tally &tally)
+int countViolations(Fleet &fleet, const Results &results)
 {
-    int broken = tally.wrongAnswers;
+    int violations = results.wrongResponses;
     const std::map<std::string, int> executions = fleet.executions();
-    for (const auto &[id, outcome] : tally.booked) {
+    for (const auto &[id, outcome] : results.booked) {
         const auto found = executions.find(id);
         const int count = found == executions.end() ? 0 : found->second;
         const bool wrong = count > 1 || (outcome == "not-run" && count > 0) || (outcome == "ran" && count != 1);
         if (wrong) {
             std::printf("BROKEN: %s was told %s and ran %d times\n", id.c_str(), outcome.c_str(), count);
-            ++broken;
+            ++violations;
         }
     }
-    return broken;
+    return violations;
 }
 
 int runDemo()
 {
-    Plan plan;
-    plan.services = {"course-desk", "voucher-ledger"};
-    plan.floor = "2 servers";
-    plan.workMs = 20;
-    Fleet fleet(plan);
+    FleetOptions options;
+    options.services = {"course-desk", "voucher-ledger"};
+    options.floor = "2 servers";
+    options.workMs = 20;
+    Fleet fleet(options);
     std::printf("three nodes and six servers are up; serving for %lld s\n",
-                static_cast<long long>(servedFor.count() / 1000));
-    Tally tally;
+                static_cast<long long>(servingTime.count() / 1000));
+    Results results;
     std::vector<std::function<void()>> bodies;
     bodies.reserve(clients + 1);
     for (int client = 0; client < clients; ++client) {
         bodies.emplace_back([&, client] {
-            const std::string &service = fleet.plan().services[static_cast<std::size_t>(client % 2)];
-            while (!tally.stop) {
+            const std::string &service = fleet.options().services[static_cast<std::size_t>(client % 2)];
+            while (!results.stop) {
                 if (client % 3 == 0) {
-                    writeOnce(fleet, tally, client % 3, service);
+                    writeOnce(fleet, results, client % 3, service);
                 } else {
-                    readOnce(fleet, tally, client % 3, service);
+                    readOnce(fleet, results, client % 3, service);
                 }
                 pause(Millis(15));
             }
         });
     }
     bodies.emplace_back([&] {
-        pause(servedFor / 4);
+        pause(servingTime / 4);
         std::printf("killing server s0 of course-desk\n");
         fleet.server("s0").kill();
-        pause(servedFor / 4);
+        pause(servingTime / 4);
         std::printf("freezing server s4 of voucher-ledger\n");
         fleet.server("s4").signal(SIGSTOP);
-        pause(servedFor / 2);
-        tally.stop = true;
+        pause(servingTime / 2);
+        results.stop = true;
     });
-    together(bodies);
+    runConcurrently(bodies);
     fleet.server("s4").signal(SIGCONT);
-    for (const auto &[kind, outcomes] : tally.outcomes) {
+    for (const auto &[kind, outcomes] : results.outcomes) {
         std::printf("%-22s", kind.c_str());
         for (const auto &[outcome, count] : outcomes) {
             std::printf("  %s %d", outcome.c_str(), count);
@@ -121,15 +121,15 @@
     }
     fleet.ctl({"report", "burn"}, &output);
     std::printf("%s", output.c_str());
-    int broken = judge(fleet, tally);
-    for (int node = 0; node < fleet.plan().nodes; ++node) {
+    int violations = countViolations(fleet, results);
+    for (int node = 0; node < fleet.options().nodes; ++node) {
         fleet.node(node).signal(SIGTERM);
         const int code = fleet.node(node).waitForExit();
         std::printf("node n%d stopped with %d\n", node, code);
-        broken += code == 0 ? 0 : 1;
+        violations += code == 0 ? 0 : 1;
     }
-    std::printf(broken == 0 ? "every promise held\n" : "%d promises broken\n", broken);
-    return broken == 0 ? 0 : 1;
+    std::printf(violations == 0 ? "every promise held\n" : "%d promises broken\n", violations);
+    return violations == 0 ? 0 : 1;
 }
 
 } // namespace
--- a/tools/losses.cpp
+++ b/tools/losses.cpp
@@ -107,16 +107,16 @@
 
     static std::string spanOf(double seconds)
     {
-        constexpr double trial = 1.0;
-        constexpr double samePhase = 3.0;
-        constexpr double earlierPhase = 12.0;
-        if (seconds < trial) {
+        constexpr double probeInterval = 1.0;
+        constexpr double maxGapSamePhase = 3.0;
+        constexpr double maxGapNextPhase = 12.0;
+        if (seconds < probeInterval) {
             return "under 1 s";
         }
-        if (seconds < samePhase) {
+        if (seconds < maxGapSamePhase) {
             return "1 to 3 s";
         }
-        return seconds < earlierPhase ? "3 to 12 s" : "more than 12 s";
+        return seconds < maxGapNextPhase ? "3 to 12 s" : "more than 12 s";
     }
 
     static void table(const std::string &title, const Counts &counts)
