--- a/include/wire/Messages.h
+++ b/include/wire/Messages.h
@@ -4,9 +4,9 @@
 #include "include/base/Error.h"
 #include "include/base/HttpMessage.h"
 #include "include/base/Ids.h"
-#include "include/fleet/Roster.h"
+#include "include/fleet/NodeRegistry.h"
 #include "include/home/SlotQueue.h"
-#include "include/limit/InnerCallMeter.h"
+#include "include/limit/NestedCallTracker.h"
 #include "include/member/RecordTable.h"
 
 #include <cstdint>
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "include/base/LinePipe.h"
+#include "include/base/LineWriter.h"
 
 #include <log4cxx/appenderskeleton.h>
 #include <log4cxx/basicconfigurator.h>
--- a/src/base/LinePipe.cpp
+++ b/src/base/LineWriter.cpp
@@ -1,4 +1,4 @@
-#include "include/base/LinePipe.h"
+#include "include/base/LineWriter.h"
 
 #include <algorithm>
 #include <climits>
--- a/src/fleet/TransitMeter.cpp
+++ b/src/fleet/LinkDelayEstimator.cpp
@@ -1,4 +1,4 @@
-#include "include/fleet/TransitMeter.h"
+#include "include/fleet/LinkDelayEstimator.h"
 
 #include <algorithm>
 
--- a/src/fleet/Roster.cpp
+++ b/src/fleet/NodeRegistry.cpp
@@ -1,4 +1,4 @@
-#include "include/fleet/Roster.h"
+#include "include/fleet/NodeRegistry.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/fleet/PartPicker.cpp
+++ b/src/fleet/WeightedRoundRobin.cpp
@@ -1,4 +1,4 @@
-#include "include/fleet/PartPicker.h"
+#include "include/fleet/WeightedRoundRobin.h"
 
 namespace waxwing {
 
--- a/src/http/HttpConnection.h
+++ b/src/http/HttpConnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/fiber/WaitPoint.h"
+#include "src/fiber/FiberNotifier.h"
 #include "src/http/HttpServer.h"
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/limit/SecondSendBudget.cpp
+++ b/src/limit/FleetRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "include/limit/SecondSendBudget.h"
+#include "include/limit/FleetRetryBudget.h"
 
 #include <algorithm>
 
--- a/src/limit/InnerCallMeter.cpp
+++ b/src/limit/NestedCallTracker.cpp
@@ -1,4 +1,4 @@
-#include "include/limit/InnerCallMeter.h"
+#include "include/limit/NestedCallTracker.h"
 
 #include <algorithm>
 
--- a/src/sidecar/CallerFront.cpp
+++ b/src/sidecar/CallerHandler.cpp
@@ -1,10 +1,10 @@
-#include "src/sidecar/CallerFront.h"
+#include "src/sidecar/CallerHandler.h"
 
 #include "include/fleet/Freshness.h"
 #include "include/report/BurnRecorder.h"
 #include "platform/CallerDialect.h"
 #include "src/node/NodeCore.h"
-#include "src/sidecar/ConfigFollower.h"
+#include "src/sidecar/ConfigSync.h"
 #include "src/sidecar/Forwarder.h"
 
 #include <algorithm>
--- a/src/sidecar/CallerFront.h
+++ b/src/sidecar/CallerHandler.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "include/fleet/FleetConfig.h"
-#include "include/fleet/PartPicker.h"
+#include "include/fleet/WeightedRoundRobin.h"
 #include "src/http/HttpServer.h"
 
 namespace waxwing {
--- a/src/sidecar/ConfigFollower.cpp
+++ b/src/sidecar/ConfigSync.cpp
@@ -1,4 +1,4 @@
-#include "src/sidecar/ConfigFollower.h"
+#include "src/sidecar/ConfigSync.h"
 
 #include "platform/ConfigDecoder.h"
 #include "platform/Names.h"
--- a/src/sidecar/FenceService.cpp
+++ b/src/sidecar/FenceService.cpp
@@ -1,9 +1,9 @@
 #include "src/sidecar/FenceService.h"
 
 #include "src/fiber/FiberLoop.h"
-#include "src/fiber/WaitPoint.h"
+#include "src/fiber/FiberNotifier.h"
 #include "src/node/NodeCore.h"
-#include "src/sidecar/RosterKeeper.h"
+#include "src/sidecar/RegistrySync.h"
 
 #include <algorithm>
 
--- a/src/sidecar/FenceService.h
+++ b/src/sidecar/FenceService.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "include/fleet/Roster.h"
+#include "include/fleet/NodeRegistry.h"
 #include "include/wire/Messages.h"
 #include "src/link/PeerHub.h"
 
--- a/src/sidecar/Forwarder.cpp
+++ b/src/sidecar/Forwarder.cpp
@@ -1,14 +1,14 @@
 #include "src/sidecar/Forwarder.h"
 
 #include "src/fiber/FiberLoop.h"
-#include "src/fiber/WaitPoint.h"
+#include "src/fiber/FiberNotifier.h"
 #include "src/link/PeerHub.h"
 #include "src/node/NodeCore.h"
 #include "src/sidecar/LocalHome.h"
-#include "src/sidecar/NewsService.h"
-#include "src/sidecar/PathWatch.h"
-#include "src/sidecar/RosterKeeper.h"
-#include "src/sidecar/SecondSendService.h"
+#include "src/sidecar/PathMonitor.h"
+#include "src/sidecar/RegistrySync.h"
+#include "src/sidecar/RetryBudgetService.h"
+#include "src/sidecar/StateUpdateService.h"
 #include "src/sidecar/WorkSender.h"
 
 #include <algorithm>
--- a/src/sidecar/Forwarder.h
+++ b/src/sidecar/Forwarder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "include/fleet/FleetConfig.h"
-#include "include/limit/InnerCallMeter.h"
+#include "include/limit/NestedCallTracker.h"
 #include "include/route/HomeRanking.h"
 #include "include/route/HomeSearch.h"
 #include "include/wire/Messages.h"
--- a/src/sidecar/LocalHome.cpp
+++ b/src/sidecar/LocalHome.cpp
@@ -5,7 +5,7 @@
 #include "src/fiber/FiberLoop.h"
 #include "src/node/NodeCore.h"
 #include "src/node/PoisonService.h"
-#include "src/sidecar/RosterKeeper.h"
+#include "src/sidecar/RegistrySync.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -2,10 +2,10 @@
 
 #include "include/home/LocalServerState.h"
 #include "include/home/SlotQueue.h"
-#include "include/limit/InnerCallMeter.h"
+#include "include/limit/NestedCallTracker.h"
 #include "include/limit/RouteOrigins.h"
 #include "include/wire/Messages.h"
-#include "src/fiber/WaitPoint.h"
+#include "src/fiber/FiberNotifier.h"
 #include "src/node/RunControl.h"
 
 #include <deque>
--- a/src/sidecar/PathWatch.cpp
+++ b/src/sidecar/PathMonitor.cpp
@@ -1,8 +1,8 @@
-#include "src/sidecar/PathWatch.h"
+#include "src/sidecar/PathMonitor.h"
 
 #include "src/fiber/FiberLoop.h"
 #include "src/node/NodeCore.h"
-#include "src/sidecar/RosterKeeper.h"
+#include "src/sidecar/RegistrySync.h"
 
 #include <algorithm>
 
--- a/src/sidecar/PathWatch.h
+++ b/src/sidecar/PathMonitor.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "include/fleet/Roster.h"
-#include "include/fleet/RoundTrip.h"
+#include "include/fleet/NodeRegistry.h"
+#include "include/fleet/RttEstimator.h"
 #include "src/link/PeerHub.h"
 
 #include <functional>
--- a/src/sidecar/RegionWatch.cpp
+++ b/src/sidecar/RegionWatch.cpp
@@ -1,7 +1,7 @@
 #include "src/sidecar/RegionWatch.h"
 
 #include "src/node/NodeCore.h"
-#include "src/sidecar/RosterKeeper.h"
+#include "src/sidecar/RegistrySync.h"
 
 #include <algorithm>
 
--- a/src/sidecar/RosterKeeper.cpp
+++ b/src/sidecar/RegistrySync.cpp
@@ -1,4 +1,4 @@
-#include "src/sidecar/RosterKeeper.h"
+#include "src/sidecar/RegistrySync.h"
 
 #include "platform/ConfigDecoder.h"
 #include "src/fiber/FiberLoop.h"
--- a/src/sidecar/RosterKeeper.h
+++ b/src/sidecar/RegistrySync.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "include/fleet/Roster.h"
+#include "include/fleet/NodeRegistry.h"
 #include "platform/ObjectApi.h"
 
 #include <functional>
--- a/src/sidecar/SecondSendService.cpp
+++ b/src/sidecar/RetryBudgetService.cpp
@@ -1,8 +1,8 @@
-#include "src/sidecar/SecondSendService.h"
+#include "src/sidecar/RetryBudgetService.h"
 
-#include "src/fiber/WaitPoint.h"
+#include "src/fiber/FiberNotifier.h"
 #include "src/node/NodeCore.h"
-#include "src/sidecar/RosterKeeper.h"
+#include "src/sidecar/RegistrySync.h"
 
 #include <algorithm>
 
--- a/src/sidecar/SecondSendService.h
+++ b/src/sidecar/RetryBudgetService.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "include/limit/InnerCallMeter.h"
-#include "include/limit/SecondSendBudget.h"
+#include "include/limit/FleetRetryBudget.h"
+#include "include/limit/NestedCallTracker.h"
 #include "include/wire/Messages.h"
 #include "src/link/PeerHub.h"
 
--- a/src/sidecar/NewsService.cpp
+++ b/src/sidecar/StateUpdateService.cpp
@@ -1,11 +1,11 @@
-#include "src/sidecar/NewsService.h"
+#include "src/sidecar/StateUpdateService.h"
 
 #include "include/fleet/Freshness.h"
 #include "src/fiber/FiberLoop.h"
 #include "src/node/NodeCore.h"
-#include "src/sidecar/ConfigFollower.h"
+#include "src/sidecar/ConfigSync.h"
 #include "src/sidecar/RegionWatch.h"
-#include "src/sidecar/RosterKeeper.h"
+#include "src/sidecar/RegistrySync.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/sidecar/StoreWatch.h
+++ b/src/sidecar/StoreWatch.h
@@ -3,7 +3,7 @@
 #include "include/fleet/Freshness.h"
 #include "include/fleet/WatchElection.h"
 #include "platform/ObjectApi.h"
-#include "src/fiber/WaitPoint.h"
+#include "src/fiber/FiberNotifier.h"
 #include "src/http/HttpClient.h"
 
 #include <functional>
--- a/src/sidecar/WorkSender.cpp
+++ b/src/sidecar/WorkSender.cpp
@@ -1,9 +1,9 @@
 #include "src/sidecar/WorkSender.h"
 
-#include "src/fiber/WaitPoint.h"
+#include "src/fiber/FiberNotifier.h"
 #include "src/node/NodeCore.h"
 #include "src/sidecar/FenceService.h"
-#include "src/sidecar/PathWatch.h"
+#include "src/sidecar/PathMonitor.h"
 
 #include <algorithm>
 
--- a/tests/integration/OldKnowledgeTest.cpp
+++ b/tests/integration/StaleStateTest.cpp
@@ -1,5 +1,5 @@
 #include "platform/Names.h"
-#include "tests/support/KnowledgeRig.h"
+#include "tests/support/ConfigPropagationRig.h"
 
 #include <csignal>
 #include <doctest/doctest.h>
--- a/tests/support/Mesh.cpp
+++ b/tests/support/Mesh.cpp
@@ -1,6 +1,6 @@
 #include "tests/support/Mesh.h"
 
-#include "include/fleet/Roster.h"
+#include "include/fleet/NodeRegistry.h"
 #include "platform/ConfigDecoder.h"
 #include "platform/Names.h"
 #include "platform/ObjectApi.h"
--- a/tests/unit/SecondSendTest.cpp
+++ b/tests/unit/FleetRetryBudgetTest.cpp
@@ -1,5 +1,5 @@
-#include "include/limit/InnerCallMeter.h"
-#include "include/limit/SecondSendBudget.h"
+#include "include/limit/FleetRetryBudget.h"
+#include "include/limit/NestedCallTracker.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/unit/FleetTest.cpp
+++ b/tests/unit/FleetTest.cpp
@@ -1,7 +1,7 @@
 #include "include/fleet/FleetConfig.h"
-#include "include/fleet/PartPicker.h"
-#include "include/fleet/Roster.h"
-#include "include/fleet/TransitMeter.h"
+#include "include/fleet/LinkDelayEstimator.h"
+#include "include/fleet/NodeRegistry.h"
+#include "include/fleet/WeightedRoundRobin.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/unit/LinkTest.cpp
+++ b/tests/unit/LinkTest.cpp
@@ -1,4 +1,4 @@
-#include "include/fleet/RoundTrip.h"
+#include "include/fleet/RttEstimator.h"
 #include "src/link/LinkFramer.h"
 
 #include <doctest/doctest.h>
--- a/tests/unit/LogTest.cpp
+++ b/tests/unit/LogTest.cpp
@@ -1,5 +1,5 @@
 #include "include/base/EventLog.h"
-#include "include/base/LinePipe.h"
+#include "include/base/LineWriter.h"
 #include "tests/support/ManualClock.h"
 
 #include <doctest/doctest.h>
--- a/tests/unit/SecondSendFleetTest.cpp
+++ b/tests/unit/RetryBudgetTransferTest.cpp
@@ -1,4 +1,4 @@
-#include "include/limit/SecondSendBudget.h"
+#include "include/limit/FleetRetryBudget.h"
 
 #include <boost/random/mersenne_twister.hpp>
 #include <boost/random/uniform_01.hpp>
--- a/tests/unit/RouteOriginsTest.cpp
+++ b/tests/unit/RouteOriginsTest.cpp
@@ -1,5 +1,5 @@
 #include "include/limit/RouteOrigins.h"
-#include "include/limit/InnerCallMeter.h"
+#include "include/limit/NestedCallTracker.h"
 
 #include <doctest/doctest.h>
 
