--- a/include/home/Announcement.h
+++ b/include/home/Announcement.h
@@ -17,7 +17,7 @@
 
 const char *serverStateName(ServerState state);
 
-/** What a backend server says of itself, every second, to the one node that is its home. */
+/** Heartbeat that a backend server sends every second to the one node that is its home. */
 struct Announcement {
     std::string service;
     std::string server;
@@ -28,15 +28,18 @@
     std::uint32_t slots = 1;
     std::uint32_t connections = 100;
     ServerState state = ServerState::Serving;
-    /** Grows with each announcement of one incarnation, where the server counts them: tells late ones. */
+    /**
+     * Grows with each announcement of one incarnation, if the server counts them. Identifies announcements that arrive
+     * out of order.
+     */
     std::uint64_t sequence = 0;
-    /** How much longer the server is slow after its start, where it says so. */
+    /** Remaining time for which the server is slow after its start, if it reports one. */
     Millis cold{0};
 };
 
-/** Reads the JSON body of an announcement; each fault is a finding. Thread safe. */
+/** Parses the JSON body of an announcement. Adds a finding for each fault. Thread safe. */
 Announcement parseAnnouncement(const std::string &body, Findings &findings);
-/** The JSON body. Thread safe. */
+/** Returns the JSON body of @p announcement. Thread safe. */
 std::string announcementJson(const Announcement &announcement);
 
 } // namespace waxwing
