--- a/include/home/LocalServerState.h
+++ b/include/home/LocalServerState.h
@@ -10,45 +10,48 @@
 
 namespace waxwing {
 
-/** What an announcement or a farewell changed. */
+/** Effect of an announcement or a deregistration. */
 enum class ServerChange {
-    /** Not from the server beside this node, or older than what is known: must not be acknowledged. */
+    /** Not from the server beside this node, or older than the known state. Must not be acknowledged. */
     Ignored,
-    /** Known already. */
+    /** No change. */
     None,
-    /** A new process of the server takes work. */
+    /** A new process of the server accepts work. */
     Started,
-    /** The server takes no more work. */
+    /** The server accepts no more work. */
     Stopped,
 };
 
 /**
- * Which process runs beside this node, and whether it takes work, from announcements that may be late, forged or
- * repeated. Processes are ordered by incarnation, and announcements of one by their sequence. What was acknowledged as
- * leaving stays left: a late announcement from before can't bring it back. Not thread safe.
+ * Tracks which process runs beside this node and whether it accepts work. Announcements may be late, forged or
+ * repeated. Processes are ordered by incarnation, and the announcements of one process by their sequence. Once a
+ * deregistration is acknowledged, an older announcement that arrives late can't put the server back into service. Not
+ * thread safe.
  */
 class LocalServerState
 {
 public:
-    /** Takes an announcement. @p expected: the server that the settings name. */
+    /** Applies an announcement. @p expected: the server named in the settings. */
     ServerChange update(const Announcement &announcement, const LocalServer &expected);
-    /** The server says that it goes; @p incarnation if it named one. */
+    /** Deregisters the server. @p incarnation: its incarnation, if the request names one. */
     ServerChange deregister(const std::string &server, std::optional<std::uint64_t> incarnation);
-    /** Another process answers at the address, or none: nothing is known until the next newer announcement. */
+    /**
+     * Another process, or none, answers at the server's address. No server is known until a newer announcement arrives.
+     */
     void noteReplaced();
 
-    /** The process that takes work, or null. */
+    /** Returns the process that accepts work, or null. */
     const Announcement *serving() const;
-    /** The newest process known, whatever its state. */
+    /** Returns the newest process known, in whatever state, or null. */
     const Announcement *latest() const;
 
 private:
     bool isOlder(const Announcement &announcement) const;
 
     std::optional<Announcement> current_;
-    /** The current one no longer takes work. */
+    /** The current process accepts no more work. */
     bool stopped_ = false;
-    /** Incarnations that said farewell, by server id: their late announcements say nothing. */
+    /** Highest deregistered incarnation by server id. Announcements up to it are ignored. */
     std::map<std::string, std::uint64_t> deregistered_;
 };
 
--- a/src/home/LocalServerState.cpp
+++ b/src/home/LocalServerState.cpp
@@ -5,14 +5,17 @@
 namespace waxwing {
 
 namespace {
-/** Farewells remembered; a server beside one node restarts far less often than heartbeats are delayed. */
+/**
+ * Largest number of servers with a recorded deregistration. The server beside one node restarts far less often than
+ * heartbeats are delayed.
+ */
 constexpr std::size_t maxDeregistered = 64;
 } // namespace
 
 bool LocalServerState::isOlder(const Announcement &announcement) const
 {
-    const auto gone = deregistered_.find(announcement.server);
-    if (gone != deregistered_.end() && announcement.incarnation <= gone->second) {
+    const auto deregistered = deregistered_.find(announcement.server);
+    if (deregistered != deregistered_.end() && announcement.incarnation <= deregistered->second) {
         return true;
     }
     if (!current_) {
@@ -26,9 +29,9 @@
 
 ServerChange LocalServerState::update(const Announcement &announcement, const LocalServer &expected)
 {
-    const bool fromHere = announcement.service == expected.service && announcement.address == expected.address.address
-                          && announcement.port == expected.address.port;
-    if (!fromHere || isOlder(announcement)) {
+    const bool isLocal = announcement.service == expected.service && announcement.address == expected.address.address
+                         && announcement.port == expected.address.port;
+    if (!isLocal || isOlder(announcement)) {
         return ServerChange::Ignored;
     }
     const bool newProcess = !current_ || current_->incarnation != announcement.incarnation;
