--- a/include/home/ServiceHome.h
+++ b/include/home/ServiceHome.h
@@ -15,78 +15,81 @@
 
 namespace waxwing {
 
-/** A request as its home decides about it. */
+/** A request as submitted to the home of its service. */
 struct HomeRequest {
     std::uint64_t id = 0;
     std::string className;
     std::string customer;
     SteadyTime deadline;
-    /** Servers that it already failed at. */
+    /** Servers that already failed the request. */
     std::set<std::string> exclude;
 };
 
-/** What submit() decided. */
+/** Result of submit(). */
 struct Admission {
     enum class Kind {
         /** Goes to @c server now. */
         Assigned,
-        /** Waits; poll() will name its server or say that it expired. */
+        /** Waits. poll() returns its server or reports that it expired. */
         Queued,
         Refused,
     };
     Kind kind = Kind::Refused;
     std::string server;
-    /** Stable word for a refusal. */
+    /** Identifier of the reason of a refusal; it does not change between releases. */
     std::string reason;
     Millis retryAfter{0};
 };
 
-/** A decision of the home that explains itself: an event name and its fields. */
+/** A decision of the home as an event: its name, the server and the fields that explain it. */
 struct HomeDecision {
     std::string event;
     std::string server;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
-/** Bounds and times of one service at its home. */
+/** Limits and durations for one service at its home. */
 struct HomeTuning {
     HealthTuning health;
     /** A server that has not announced itself for this long gets no new work. */
     Millis announceTimeout = std::chrono::seconds(2);
-    /** A silent server is forgotten after this long. */
+    /** A silent server is removed after this long. */
     Millis removeAfter = std::chrono::seconds(30);
     std::size_t queuePerClass = 64;
-    /** Refuse at once what would miss its deadline. Off only where a bench compares with a baseline. */
+    /** Refuse requests at once that would miss their deadline. Off only where a benchmark measures a baseline. */
     bool refuseEarly = true;
     /**
-     * Largest share of the usable slots that a slow class may hold while a much faster one had work lately. The idea of
-     * a lane with a fairness ceiling, smallest for the slowest, is from "Handling Slow Webhook Consumers Without
-     * Starving the Dispatcher", step 2; figures with and without it are in bench/RESULTS.md.
+     * Largest share of the usable slots that a slow class may hold while a much faster class is active. The design, a
+     * lane with a fairness ceiling that is smallest for the slowest class, is from "Handling Slow Webhook Consumers
+     * Without Starving the Dispatcher", step 2. bench/RESULTS.md has figures with and without it.
      */
     double slowClassShare = 0.5;
-    /** A class is slow beside another one if its work takes this many times as long. */
+    /** A class is slow compared with another one if its requests take this many times as long. */
     int slowClassFactor = 4;
     Millis activeClassWindow = std::chrono::seconds(10);
-    /** Nobody is ejected while the median of the other servers has a larger share of bad results: the service is slow.
+    /**
+     * No server is ejected while the median share of bad results among the other servers is above this: then the whole
+     * service is slow.
      */
     double slowServiceShare = 0.05;
 };
 
-/** One server for reports. */
+/** State of one server for reports. */
 struct ServerView {
     Announcement announced;
     ServerPhase phase = ServerPhase::Ramp;
     bool present = false;
     std::uint32_t inFlight = 0;
     double suspicion = 0.0;
-    /** Sick, but kept because the floor allows no ejection. */
+    /** Unhealthy, but kept in service because the floor allows no ejection. */
     bool keptForFloor = false;
 };
 
 /**
- * Every decision about one service's servers at the node that is their home: who may take work, which request goes
- * to which server, what waits, what is refused, who leaves and who returns. Slots are counted exactly, because no
- * other node hands work to these servers. Opens no socket, starts no thread and is given the time. Not thread safe.
+ * Makes every decision about the servers of one service at the node that is their home: which servers get work, which
+ * request goes to which server, which requests wait or are refused, and which servers are ejected and returned. Slots
+ * are counted exactly because no other node sends work to these servers. Opens no socket, starts no thread, and takes
+ * the time as a parameter. Not thread safe.
  */
 class ServiceHome
 {
@@ -94,22 +97,25 @@
     ServiceHome(std::string service, NodeRef self, HomeTuning tuning, DetectorFactory detectors,
                 HomeFloor::InServiceOf inServiceOf);
 
-    /** Takes over new intents. @p intent is copied. */
+    /** Replaces the intents. @p intent is copied. */
     void setIntent(const ServiceIntent &intent);
-    /** Takes an announcement. Returns true if it is of a new process of the server. */
+    /** Applies an announcement. Returns true if it is from a new process of the server. */
     bool announce(const Announcement &announcement, SteadyTime now);
 
-    /** Decides about a new request. @pre its class is one of the intent's. */
+    /** Admits, queues or refuses a new request. @pre its class is one of the intent's. */
     Admission submit(const HomeRequest &request, SteadyTime now);
     /** Frees the slot that @p id held at @p server. @p took: how long the server worked on it. */
     void release(std::uint64_t id, const std::string &server, Duration took);
-    /** Takes a waiting request out; false if it is not waiting. */
+    /** Removes a waiting request. Returns false if it is not waiting. */
     bool cancel(std::uint64_t id);
-    /** Adds what a request showed about its server. */
+    /** Adds the result of a request as evidence about its server. */
     void addEvidence(const std::string &server, Evidence evidence, SteadyTime now);
-    /** The server's process ended; it is not sick, only gone until it announces itself again. */
+    /** The server's process ended. The server counts as absent, not as unhealthy, until it announces itself again. */
     void noteDeath(const std::string &server);
-    /** Evidence about other homes' servers of this service, which tells a slow service from a sick server. */
+    /**
+     * Adds evidence about servers of this service at other homes. It distinguishes a slow service from an unhealthy
+     * server.
+     */
     void addPeerEvidence(bool bad, SteadyTime now);
 
     struct Assignment {
@@ -120,22 +126,25 @@
         std::vector<Assignment> assigned;
         std::vector<std::uint64_t> expired;
     };
-    /** Assigns waiting requests to free slots and takes out the ones whose deadline has passed. */
+    /** Assigns waiting requests to free slots and removes the requests whose deadline has passed. */
     PollResult poll(SteadyTime now);
-    /** Moves phases, expires announcements, ejects what the floor allows. Call every 50 ms or so. */
+    /**
+     * Advances phases, expires announcements and ejects unhealthy servers as far as the floor allows. To be called
+     * about every 50 ms.
+     */
     std::vector<HomeDecision> tick(SteadyTime now);
 
     HomeFloor &floor();
     std::uint32_t inService() const;
     std::uint32_t freeSlots(SteadyTime now) const;
-    /** True if a server not in @p exclude has a free slot. */
+    /** Returns true if a server that is not in @p exclude has a free slot. */
     bool hasFreeSlotExcluding(const std::set<std::string> &exclude, SteadyTime now) const;
     std::size_t queued() const;
     std::size_t inFlight() const;
-    /** Servers known, also the silent and the ejected. */
+    /** Returns all known servers, including silent and ejected ones. */
     std::vector<ServerView> servers() const;
     const Announcement *find(const std::string &server) const;
-    /** Share of bad results lately, over all servers but @p except. */
+    /** Returns the recent share of bad results over all servers except @p except. */
     double badShareExcluding(const std::string &except) const;
     bool hasNoServers() const;
 
@@ -152,11 +161,11 @@
         ServerHealth health;
         SteadyTime lastAnnounced;
         std::uint32_t inFlight = 0;
-        /** Order of the last hand-over, so that equally loaded servers take turns. */
+        /** Sequence number of the last assignment. Equally loaded servers are chosen in turn by it. */
         std::uint64_t lastAssignment = 0;
         bool dead = false;
         bool keptForFloor = false;
-        /** Decaying counts of results. */
+        /** Counts of results with exponential decay. */
         double good = 0.0;
         double bad = 0.0;
         SteadyTime countedAt;
@@ -164,7 +173,7 @@
     struct ClassLoad {
         std::uint32_t inFlight = 0;
         SteadyTime lastSeen;
-        /** Smoothed time that a server works on one request. */
+        /** Moving average of the time that a server works on one request. */
         Duration workTime{0};
     };
 
--- a/src/home/ServiceHome.cpp
+++ b/src/home/ServiceHome.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/** Results count half after this long in the share of bad ones among peers. */
+/** Half-life of results in the peers' share of bad results. */
 constexpr Millis resultHalfLife = std::chrono::seconds(1);
-/** Good results assumed of a service of which little is known. */
+/** Good results assumed of a service with few results. */
 constexpr double priorGood = 3.0;
 constexpr double workTimeSmoothing = 0.1;
 constexpr double suspicionThreshold = 0.3;
@@ -97,7 +97,7 @@
         return 0;
     }
     const std::uint32_t usable = server.health.usableSlots(server.announced.slots, now);
-    // A sick server that the floor keeps in service gets as little work as keeps its evidence coming.
+    // An unhealthy server that the floor keeps in service gets just enough work to produce evidence.
     return server.keptForFloor ? std::min<std::uint32_t>(1, usable) : usable;
 }
 
@@ -120,17 +120,17 @@
             continue;
         }
         if (server.health.phase() == ServerPhase::Probation && intent.idempotent) {
-            // A trial comes first, else a server could never show that it is well again while others have room.
+            // A probe has precedence. Otherwise a recovered server could not show it while others have free slots.
             return &server;
         }
         const bool suspect = server.health.suspicion() >= suspicionThreshold && !server.keptForFloor;
         if (suspect && intent.idempotent && server.inFlight == 0) {
-            // One request at a time settles a suspicion soon. Left to the choice by load alone, a suspect would get no
-            // work and so give no evidence, and stay in doubt for ever.
+            // One request at a time confirms or clears a suspicion soon. If only load decided, a suspect would get no
+            // work, so no evidence, and would stay suspect.
             return &server;
         }
-        // A small suspicion must not count: at little traffic an idle server would never win against spotless ones, get
-        // no work, and so neither clear itself nor be found out.
+        // A small suspicion does not count. At low traffic an idle server with one would always lose to servers with
+        // none, get no work, and so be neither cleared nor ejected.
         const double penalty = server.health.suspicion() >= suspicionThreshold ? server.health.suspicion() : 0.0;
         const double load =
             static_cast<double>(server.inFlight) / usable + penalty + (server.keptForFloor ? 10.0 : 0.0);
@@ -146,8 +146,8 @@
 
 ServiceHome::Server *ServiceHome::pickRamping(const std::set<std::string> &exclude, SteadyTime now)
 {
-    // The ramp spares a newly started server while others have room. When nobody has, as after a restart of the whole
-    // service, a slow answer is better than a refusal.
+    // The ramp limits the load of a newly started server while others have free slots. When none has, as after a
+    // restart of the whole service, a slow response is better than a refusal.
     Server *best = nullptr;
     for (auto &[name, server] : servers_) {
         const bool ramping =
@@ -166,8 +166,8 @@
     if (found == classes_.end()) {
         return true;
     }
-    // A slow class holds its slots long, so without a limit it takes them all by and by, and a fast class beside it
-    // waits for its slow work. A fast class gives its slots back soon and needs no limit.
+    // A slow class holds its slots for long. Without a limit it gradually takes all of them, and a fast class waits for
+    // its slow work. A fast class frees its slots soon and needs no limit.
     const Duration workTime = found->second.workTime;
     const bool besideFaster = std::any_of(classes_.begin(), classes_.end(), [&](const auto &entry) {
         const bool recent = now - entry.second.lastSeen < tuning_.activeClassWindow;
@@ -230,7 +230,7 @@
             return out;
         }
     }
-    // Work that would only time out in the queue is refused now, while the caller can still go elsewhere.
+    // Work that would only time out in the queue is refused now, while the caller can still use another home.
     const Duration wait = expectedWait(request.className, now);
     if (tuning_.refuseEarly && now + wait + load.workTime > request.deadline) {
         return refusal("would-miss-deadline", wait);
@@ -269,9 +269,9 @@
 
 void ServiceHome::recordResult(Server &server, bool bad, SteadyTime now)
 {
-    const double kept = decay(server.countedAt, now);
-    server.good = server.good * kept + (bad ? 0.0 : 1.0);
-    server.bad = server.bad * kept + (bad ? 1.0 : 0.0);
+    const double weight = decay(server.countedAt, now);
+    server.good = server.good * weight + (bad ? 0.0 : 1.0);
+    server.bad = server.bad * weight + (bad ? 1.0 : 0.0);
     server.countedAt = now;
 }
 
@@ -304,9 +304,9 @@
 
 void ServiceHome::addPeerEvidence(bool bad, SteadyTime now)
 {
-    const double kept = decay(peerCountedAt_, now);
-    peerGood_ = peerGood_ * kept + (bad ? 0.0 : 1.0);
-    peerBad_ = peerBad_ * kept + (bad ? 1.0 : 0.0);
+    const double weight = decay(peerCountedAt_, now);
+    peerGood_ = peerGood_ * weight + (bad ? 0.0 : 1.0);
+    peerBad_ = peerBad_ * weight + (bad ? 1.0 : 0.0);
     peerCountedAt_ = now;
 }
 
@@ -320,10 +320,10 @@
 
 ServiceHome::PollResult ServiceHome::poll(SteadyTime now)
 {
-    PollResult due;
+    PollResult result;
     for (const QueuedRequest &expired : queue_.takeExpired(now)) {
         excluded_.erase(expired.id);
-        due.expired.push_back(expired.id);
+        result.expired.push_back(expired.id);
     }
     Server *chosen = nullptr;
     const auto mayStart = [&](const QueuedRequest &one) {
@@ -338,9 +338,9 @@
     while (queue_.pop(mayStart, next)) {
         excluded_.erase(next.id);
         assign(*chosen, next.id, next.className);
-        due.assigned.push_back(Assignment{next.id, chosen->announced.server});
+        result.assigned.push_back(Assignment{next.id, chosen->announced.server});
     }
-    return due;
+    return result;
 }
 
 void ServiceHome::updateFloor(SteadyTime now)
@@ -399,20 +399,20 @@
 
 bool ServiceHome::isServiceSlow(const std::string &except, SteadyTime now) const
 {
-    // Judged by the median, so that a few other sick servers don't keep this one in service, while a slow service
-    // shows in more than half of its servers whichever of them was found late first.
+    // The median is used so that a few other unhealthy servers do not keep this one in service, while a slow service
+    // shows in more than half of its servers, whichever of them was late first.
     std::vector<double> shares;
     for (const auto &[name, server] : servers_) {
-        const double kept = decay(server.countedAt, now);
-        const double all = (server.good + server.bad) * kept;
+        const double weight = decay(server.countedAt, now);
+        const double all = (server.good + server.bad) * weight;
         if (name != except && isHealthy(server, now) && all > 0.0) {
-            shares.push_back(server.bad * kept / (all + 1.0));
+            shares.push_back(server.bad * weight / (all + 1.0));
         }
     }
     if (shares.empty()) {
-        const double kept = decay(peerCountedAt_, now);
-        const double all = (peerGood_ + peerBad_) * kept;
-        shares.push_back(peerBad_ * kept / (all + 1.0));
+        const double weight = decay(peerCountedAt_, now);
+        const double all = (peerGood_ + peerBad_) * weight;
+        shares.push_back(peerBad_ * weight / (all + 1.0));
     }
     const auto middle = shares.begin() + static_cast<std::ptrdiff_t>(shares.size() / 2);
     std::nth_element(shares.begin(), middle, shares.end());
