--- a/include/home/SlotQueue.h
+++ b/include/home/SlotQueue.h
@@ -11,36 +11,36 @@
 
 namespace waxwing {
 
-/** How busy and how sound a home's server is, as told to the nodes that send it work. */
+/** Load and health of a home's server, as reported to the nodes that send it work. */
 struct HomeLoad {
-    /** Of the server, busy or not. */
+    /** Slots of the server, free or in use. */
     std::int32_t slots = 0;
     std::int32_t freeSlots = 0;
     std::int32_t queued = 0;
-    /** What a request of the asked priority that came now would wait for its slot. */
+    /** Expected wait for a slot of a new request of the given priority. */
     Millis wait{0};
     /** Probability that the server is gray. */
     double grayProbability = 0.0;
-    /** Work takes this many times as long as usual; 1 is usual. */
+    /** Ratio of the current work time to the usual one. */
     double slowdown = 1.0;
-    /** Share of requests that the server turned away lately though it had free slots. */
+    /** Recent share of requests that the server shed although it had free slots. */
     double shedRate = 0.0;
 };
 
-/** A request as the home of one server decides about it. */
+/** A request as submitted to the home of one server. */
 struct SlotRequest {
     std::uint64_t id = 0;
     std::string route;
-    /** If the server fails it, the sender can and will send it to another one. */
+    /** If the server fails the request, the sender can and will send it to another one. */
     bool retryable = false;
     int priority = 0;
-    /** Finished by then it counts in full. */
+    /** A response by then is in time. */
     SteadyTime objective;
-    /** Nobody waits for it after this. */
+    /** The caller has given up by then. */
     SteadyTime deadline;
-    /** How long the sender would rather have it wait here than try another home. */
+    /** Longest time in the queue of this home. After it, another home is expected to be better. */
     Millis queueTimeout{0};
-    /** The sender knows of the doubt about the server and has nothing better. */
+    /** The sender knows that the server is likely gray and has no better home. */
     bool acceptsGray = false;
 };
 
@@ -50,14 +50,14 @@
     Refuse,
 };
 
-/** Why a home refuses; the words stand in logs and replies. */
+/** Why a home refuses a request. The names appear in logs and replies. */
 enum class RefusalReason {
     None,
-    /** There is no server beside this node, or it leaves. */
+    /** No server beside this node, or it is leaving. */
     NoServer,
-    /** Its slots and the request's patience are spent. */
+    /** No slot is expected to be free within the queue timeout. */
     Busy,
-    /** The server may be gray, and the request can't be tried again, or a trial was made just now. */
+    /** The server is likely gray, and the request can't be retried, or a probe runs or ran a moment ago. */
     LikelyGray,
     /** Too little time is left. */
     TooLate,
@@ -72,107 +72,112 @@
 
 struct SlotTuning {
     /**
-     * From this doubt on the server gets no work that can't be tried again. A single failure puts a server that was
-     * as usual above it, and about four seconds without evidence, or three good answers, put it below.
+     * From this probability on, the server gets no work that can't be retried. A single failure raises a server with
+     * the usual probability above it. About four seconds without evidence, or three successes, bring it below again.
      */
     double grayThreshold = 0.45;
     /**
-     * From this doubt on also a sender that knows of it is refused: three of four requests would be lost there, and a
-     * refused caller at least knows that it may come again.
+     * From this probability on, requests with @c acceptsGray are refused as well: three of four would be lost, and a
+     * refused caller can at least retry safely.
      */
     double certainGrayThreshold = 0.8;
     /**
-     * While in doubt, repeatable requests go to the server one at a time, with this pause between them. It grows by the
-     * factor with each trial that fails: 12 s of failures take at most 16 trials, where up to 80 were possible. The
-     * longest one stays below the two seconds in which the floor of servers in use is judged.
+     * Above @c grayThreshold, retryable requests are let through as probes, one at a time and with this interval
+     * between them. The interval grows by the factor with each failed probe: 12 s of failures take at most 16 probes,
+     * instead of up to 80. The maximum stays below the two seconds over which the floor of servers in use is measured.
      */
     Millis initialProbeInterval{150};
     Millis maxProbeInterval{1200};
     double probeIntervalFactor = 1.7;
     /**
-     * After the first trial, requests whose sender does not know of the doubt wait for so many pauses, up to the bound:
-     * other homes have room for them. In a large fleet there is such a sender whenever a trial may be made.
+     * After the first probe, a request from a sender without @c acceptsGray becomes a probe only after this many
+     * intervals, up to the maximum: other homes have room for it. In a large fleet such a sender exists whenever a
+     * probe is due.
      */
     double uninformedSenderFactor = 2.0;
     Millis maxUninformedProbeInterval{1800};
     /**
-     * How much likelier a failure is from a gray server: one that came at once, and one after the usual work time. A
-     * sound server fails mostly after having worked on the request, a gray one mostly before.
+     * Likelihood ratio (gray server to healthy server) of a failure that came at once, and of one after the usual work
+     * time. A healthy server mostly fails a request after working on it, a gray server mostly before.
      */
     double fastFailureRatio = 500.0;
     double slowFailureRatio = 6.0;
-    /** A failure within this part of the usual work time came at once. */
+    /** A failure within this fraction of the usual work time came at once. */
     double fastFailureFraction = 0.2;
-    /** Weight of the newest work time in the mean. */
+    /** Weight of the newest work time in the moving average. */
     double smoothing = 0.1;
-    /** A home of which nothing is known yet plans with this work time. */
+    /** Work time assumed until the first result. */
     Millis defaultWorkTime{200};
-    /** Memory of how much of the slots each rank takes, and the most that is believed of it: waits stay finite. */
+    /**
+     * Time constant with which the occupancy of each rank decays, and the upper bound on it that keeps expected waits
+     * finite.
+     */
     Millis occupancyTimeConstant{2000};
     double maxOccupancy = 0.9;
-    /** The share of requests that the server turns away: weight of the newest one, and half-life without any. */
+    /** Share of requests that the server sheds: weight of the newest result, and half-life without results. */
     double shedSmoothing = 0.15;
     Millis shedHalfLife{2000};
-    /** Requests that may wait at once: memory's bound, far above what patience allows. */
+    /** Largest number of waiting requests. It bounds memory and is far above what queue timeouts allow. */
     std::size_t maxWaiting = 256;
     GrayTuning gray;
 };
 
 /**
- * Every decision about the one server beside a node: which request starts, which waits in which order, which is
- * refused. The home is the only process that hands work to its server, so slots are counted exactly and a server is
- * never sent more than it will take. A refusal here is no arrival at the server. Opens no socket and is given the
- * time. Not thread safe.
+ * Makes every decision about the one server beside a node: which requests start, in which order the others wait, and
+ * which are refused. Only the home sends work to its server, so slots are counted exactly and the server never gets
+ * more requests than it has slots. A request that is refused here never reaches the server. Opens no socket and takes
+ * the time as a parameter. Not thread safe.
  */
 class SlotQueue
 {
 public:
     explicit SlotQueue(SlotTuning tuning = {});
 
-    /** A server process is there with this many slots. @p newProcess: it is another process than before. */
+    /** Sets the server's number of slots. @p newProcess: it is another process than before. */
     void setServer(std::uint32_t slots, bool newProcess, SteadyTime now);
-    /** It takes no more work: returns the requests that waited. */
+    /** The server accepts no more work. Returns the requests that were waiting. */
     std::vector<std::uint64_t> clearServer();
-    /** Takes out all requests that wait; the server goes on with what it runs. */
+    /** Removes and returns all waiting requests. Running requests continue. */
     std::vector<std::uint64_t> removeWaiting();
     bool hasServer() const;
 
     SlotDecision submit(const SlotRequest &request, SteadyTime now);
-    /** Takes a waiting request out; false if it is not waiting. */
+    /** Removes a waiting request. Returns false if it is not waiting. */
     bool cancel(std::uint64_t id);
-    /** A started request no longer holds its slot. */
+    /** Frees the slot of a started request. */
     void release(std::uint64_t id, SteadyTime now);
     /**
-     * What a finished request showed. @p took: how long the server worked on it. A failure that comes at once, without
-     * the time that the work takes, is nearly always a gray server's; one after the usual time is mostly the request's.
+     * Adds the result of a finished request. @p took: how long the server worked on it. A failure that comes much
+     * sooner than the usual work time almost always means a gray server. A failure after the usual time is mostly
+     * caused by the request.
      */
     void addResult(const std::string &route, bool failed, Duration took, SteadyTime now);
 
     /**
-     * The server turned a request away though it had a free slot. It has not run, so nothing is lost but a send: that
-     * makes other homes better, and is no reason to keep work that can't be repeated away.
+     * The server shed a request although it had a free slot. The request has not run, so only a send is lost: other
+     * homes are preferred, but work that can't be retried is still admitted.
      */
     void noteShed(SteadyTime now);
-    /** Other evidence against the server. @p ratio: how much likelier it is from a gray server than from a well one. */
+    /** Adds other evidence against the server. @p ratio: likelihood ratio of a gray to a healthy server. */
     void addEvidence(double ratio, SteadyTime now);
 
     struct PollResult {
         std::vector<std::uint64_t> start;
         std::vector<std::uint64_t> expired;
     };
-    /** Starts waiting requests in free slots, most urgent first, and takes out those that waited long enough. */
+    /** Starts waiting requests in free slots, most urgent first, and removes those whose queue timeout has passed. */
     PollResult poll(SteadyTime now);
-    /** When poll() should be called even if nothing else happens; SteadyTime::max() if nothing waits. */
+    /** Returns when poll() is due even if nothing else happens; SteadyTime::max() if nothing waits. */
     SteadyTime nextPollTime(SteadyTime now) const;
 
-    /** As it stands for a request of @p priority. */
+    /** Returns the load as it applies to a request of @p priority. */
     HomeLoad load(int priority, SteadyTime now) const;
     std::size_t running() const;
     std::size_t waiting() const;
     double grayProbability(SteadyTime now) const;
-    /** Smoothed work time of @p route here; the assumed one if it never ran. */
+    /** Returns the moving average of the work time of @p route, or @c defaultWorkTime if the route never ran here. */
     Duration expectedWorkTime(const std::string &route) const;
-    /** A request of @p route ended well here. */
+    /** Returns true if a request of @p route has succeeded here. */
     bool hasWorkTime(const std::string &route) const;
 
 private:
@@ -185,7 +190,7 @@
         int rank = 0;
         SteadyTime since;
     };
-    /** Slot time that one rank took, in seconds, fading. */
+    /** Slot time used by one rank, in seconds, with exponential decay. */
     struct Occupancy {
         double seconds = 0.0;
         SteadyTime at;
@@ -198,24 +203,30 @@
     bool isMoreUrgent(const SlotRequest &a, const SlotRequest &b, SteadyTime now) const;
     bool hasFreeSlot() const;
     RefusalReason grayRefusal(const SlotRequest &request, SteadyTime now) const;
-    /** From one trial to the next one, if that is @p request. */
+    /** Time from one probe to the next one, if that is @p request. */
     Duration probeIntervalFor(const SlotRequest &request) const;
     void start(const SlotRequest &request, SteadyTime now);
     void noteFailure(double ratio, SteadyTime now);
     Duration expectedWait(const SlotRequest &request, SteadyTime now) const;
-    /** Waits of @p ahead requests that go first, by the mean work time, and of those more urgent that will come. */
+    /**
+     * Returns the wait behind @p ahead queued requests at the mean work time, including more urgent requests that
+     * arrive meanwhile.
+     */
     Duration waitBehind(std::ptrdiff_t ahead, int rank, SteadyTime now) const;
     /**
-     * It is late by now, and those that can be in time leave no room for it: its caller is better off to hear so than
-     * to wait until its time is over.
+     * Returns true if the request is already late and the requests that can still be in time leave no slot for it
+     * before its timeout. Its caller is refused at once instead of at the timeout.
      */
     bool willTimeOut(const Waiting &one, SteadyTime now) const;
-    /** Share of the slots that work more urgent than @p rank took lately. */
+    /** Returns the recent share of the slots that ranks more urgent than @p rank used. */
     double occupancyAbove(int rank, SteadyTime now) const;
     Duration meanWorkTime() const;
     double slowdown() const;
     double shedRate(SteadyTime now) const;
-    /** The rank in which it is served: its priority, and after all of these if it is late already. */
+    /**
+     * Returns the rank in which the request is served: its priority, or a rank behind all priorities if it is already
+     * late.
+     */
     int rankOf(const SlotRequest &request, SteadyTime now) const;
 
     SlotTuning tuning_;
@@ -224,15 +235,15 @@
     std::list<Waiting> waiting_;
     std::map<std::uint64_t, Running> running_;
     std::map<std::string, WorkTime> workTimes_;
-    /** Smoothed seconds over all routes. */
+    /** Moving average over all routes, in seconds. */
     double meanWorkTime_ = 0.0;
     double shedShare_ = 0.0;
     SteadyTime shedAt_;
     SteadyTime lastProbe_;
     Duration probeInterval_;
     /**
-     * By rank. Work that is more urgent and comes later goes first, which the queue's length can't show; without this
-     * the less urgent would be let in to wait in vain.
+     * By rank. The queue length does not show more urgent work that arrives later and goes first. Without this count,
+     * less urgent requests would be admitted and would time out in the queue.
      */
     std::map<int, Occupancy> occupancy_;
 };
--- a/src/home/SlotQueue.cpp
+++ b/src/home/SlotQueue.cpp
@@ -7,11 +7,14 @@
 
 namespace {
 
-/** The usual work time follows this much slower than the recent one, so that a slow phase shows as their ratio. */
+/**
+ * Factor by which the baseline work time adapts more slowly than the recent one, so that their ratio shows a slow
+ * phase.
+ */
 constexpr double baselineSmoothing = 0.1;
 constexpr double minSlowdown = 1.0;
 constexpr double maxSlowdown = 20.0;
-/** Late requests are served after all ranks of those that can be in time. */
+/** Late requests are served after all ranks of requests that can be in time. */
 constexpr int firstLateRank = 1000;
 
 double secondsOf(Duration value)
@@ -66,12 +69,12 @@
 
 std::vector<std::uint64_t> SlotQueue::removeWaiting()
 {
-    std::vector<std::uint64_t> left;
+    std::vector<std::uint64_t> removed;
     for (const Waiting &one : waiting_) {
-        left.push_back(one.request.id);
+        removed.push_back(one.request.id);
     }
     waiting_.clear();
-    return left;
+    return removed;
 }
 
 bool SlotQueue::hasServer() const
@@ -102,7 +105,7 @@
 
 int SlotQueue::rankOf(const SlotRequest &request, SteadyTime now) const
 {
-    // Work that would be late anyway goes behind work that can still be in time: it loses little by more waiting.
+    // Requests that will be late anyway go behind requests that can still be in time: more waiting costs them little.
     const bool late = now + expectedWorkTime(request.route) > request.objective;
     return late ? firstLateRank + request.priority : request.priority;
 }
@@ -160,35 +163,35 @@
 Duration SlotQueue::waitBehind(std::ptrdiff_t ahead, int rank, SteadyTime now) const
 {
     const double slots = std::max<std::uint32_t>(1, slots_);
-    const double behindThem = secondsOf(meanWorkTime()) * static_cast<double>(ahead + 1) / slots;
-    return durationOf(behindThem / (1.0 - occupancyAbove(rank, now)));
+    const double idleWait = secondsOf(meanWorkTime()) * static_cast<double>(ahead + 1) / slots;
+    return durationOf(idleWait / (1.0 - occupancyAbove(rank, now)));
 }
 
 double SlotQueue::occupancyAbove(int rank, SteadyTime now) const
 {
-    const double memory = secondsOf(tuning_.occupancyTimeConstant);
+    const double timeConstant = secondsOf(tuning_.occupancyTimeConstant);
     double seconds = 0.0;
     for (const auto &[other, occupancy] : occupancy_) {
         if (other < rank) {
-            seconds += occupancy.seconds * std::exp(-secondsOf(now - occupancy.at) / memory);
+            seconds += occupancy.seconds * std::exp(-secondsOf(now - occupancy.at) / timeConstant);
         }
     }
     const double slots = std::max<std::uint32_t>(1, slots_);
-    return std::min(tuning_.maxOccupancy, seconds / (memory * slots));
+    return std::min(tuning_.maxOccupancy, seconds / (timeConstant * slots));
 }
 
 SlotDecision SlotQueue::submit(const SlotRequest &request, SteadyTime now)
 {
-    const auto refused = [](RefusalReason reason) { return SlotDecision{SlotAction::Refuse, reason}; };
+    const auto refuse = [](RefusalReason reason) { return SlotDecision{SlotAction::Refuse, reason}; };
     if (slots_ == 0) {
-        return refused(RefusalReason::NoServer);
+        return refuse(RefusalReason::NoServer);
     }
     if (request.deadline <= now) {
-        return refused(RefusalReason::TooLate);
+        return refuse(RefusalReason::TooLate);
     }
     const RefusalReason grayReason = grayRefusal(request, now);
     if (grayReason != RefusalReason::None) {
-        return refused(grayReason);
+        return refuse(grayReason);
     }
     const Duration wait = expectedWait(request, now);
     if (wait == Duration(0)) {
@@ -196,7 +199,7 @@
         return SlotDecision{SlotAction::Start, RefusalReason::None};
     }
     if (wait > request.queueTimeout || waiting_.size() >= tuning_.maxWaiting) {
-        return refused(RefusalReason::Busy);
+        return refuse(RefusalReason::Busy);
     }
     waiting_.push_back(Waiting{request, std::min(request.deadline, now + request.queueTimeout)});
     return SlotDecision{SlotAction::Queue, RefusalReason::None};
@@ -219,10 +222,10 @@
     if (found == running_.end()) {
         return;
     }
-    Occupancy &taken = occupancy_[found->second.rank];
-    const double decayed = std::exp(-secondsOf(now - taken.at) / secondsOf(tuning_.occupancyTimeConstant));
-    taken.seconds = taken.seconds * decayed + secondsOf(now - found->second.since);
-    taken.at = now;
+    Occupancy &occupancy = occupancy_[found->second.rank];
+    const double decayed = std::exp(-secondsOf(now - occupancy.at) / secondsOf(tuning_.occupancyTimeConstant));
+    occupancy.seconds = occupancy.seconds * decayed + secondsOf(now - found->second.since);
+    occupancy.at = now;
     running_.erase(found);
 }
 
@@ -238,10 +241,11 @@
     shedAt_ = now;
     gray_.addSuccess(now);
     probeInterval_ = tuning_.initialProbeInterval;
-    WorkTime &work = workTimes_[route];
-    const bool first = work.baseline == 0.0;
-    work.recent = first ? seconds : work.recent + tuning_.smoothing * (seconds - work.recent);
-    work.baseline = first ? seconds : work.baseline + tuning_.smoothing * baselineSmoothing * (seconds - work.baseline);
+    WorkTime &workTime = workTimes_[route];
+    const bool first = workTime.baseline == 0.0;
+    workTime.recent = first ? seconds : workTime.recent + tuning_.smoothing * (seconds - workTime.recent);
+    workTime.baseline =
+        first ? seconds : workTime.baseline + tuning_.smoothing * baselineSmoothing * (seconds - workTime.baseline);
     meanWorkTime_ = meanWorkTime_ == 0.0 ? seconds : meanWorkTime_ + tuning_.smoothing * (seconds - meanWorkTime_);
 }
 
@@ -254,9 +258,9 @@
 
 double SlotQueue::shedRate(SteadyTime now) const
 {
-    const double age =
+    const double halfLives =
         std::chrono::duration<double>(now - shedAt_) / std::chrono::duration<double>(tuning_.shedHalfLife);
-    return shedShare_ * std::exp2(-std::max(0.0, age));
+    return shedShare_ * std::exp2(-std::max(0.0, halfLives));
 }
 
 void SlotQueue::addEvidence(double ratio, SteadyTime now)
@@ -275,10 +279,10 @@
 
 SlotQueue::PollResult SlotQueue::poll(SteadyTime now)
 {
-    PollResult due;
+    PollResult result;
     for (auto it = waiting_.begin(); it != waiting_.end();) {
         if (it->expiresAt <= now) {
-            due.expired.push_back(it->request.id);
+            result.expired.push_back(it->request.id);
             it = waiting_.erase(it);
         } else {
             ++it;
@@ -296,20 +300,21 @@
             break;
         }
         start(best->request, now);
-        due.start.push_back(best->request.id);
+        result.start.push_back(best->request.id);
         waiting_.erase(best);
     }
     for (auto it = waiting_.begin(); it != waiting_.end();) {
-        // The server became doubtful while it waited: another home may be sound, and there still is time for it.
+        // The server became likely gray while the request waited. Another home may be healthy, and there is still time
+        // to use it.
         const bool likelyGray = grayRefusal(it->request, now) != RefusalReason::None;
         if (likelyGray || willTimeOut(*it, now)) {
-            due.expired.push_back(it->request.id);
+            result.expired.push_back(it->request.id);
             it = waiting_.erase(it);
         } else {
             ++it;
         }
     }
-    return due;
+    return result;
 }
 
 bool SlotQueue::willTimeOut(const Waiting &one, SteadyTime now) const
@@ -338,9 +343,9 @@
 {
     double recent = 0.0;
     double baseline = 0.0;
-    for (const auto &[route, work] : workTimes_) {
-        recent += work.recent;
-        baseline += work.baseline;
+    for (const auto &[route, workTime] : workTimes_) {
+        recent += workTime.recent;
+        baseline += workTime.baseline;
     }
     return baseline == 0.0 ? minSlowdown : std::clamp(recent / baseline, minSlowdown, maxSlowdown);
 }
@@ -348,9 +353,9 @@
 HomeLoad SlotQueue::load(int priority, SteadyTime now) const
 {
     HomeLoad load;
-    const auto held = static_cast<std::int32_t>(running_.size());
+    const auto inUse = static_cast<std::int32_t>(running_.size());
     load.slots = static_cast<std::int32_t>(slots_);
-    load.freeSlots = std::max(0, static_cast<std::int32_t>(slots_) - held);
+    load.freeSlots = std::max(0, static_cast<std::int32_t>(slots_) - inUse);
     load.queued = static_cast<std::int32_t>(waiting_.size());
     const auto ahead = std::count_if(waiting_.begin(), waiting_.end(),
                                      [&](const Waiting &one) { return rankOf(one.request, now) <= priority; });
