--- a/include/route/HomeChooser.h
+++ b/include/route/HomeChooser.h
@@ -12,7 +12,7 @@
 
 namespace waxwing {
 
-/** Nearness of a home, nearest first. */
+/** Distance from this node to a home, nearest first. */
 enum class Distance {
     SameNode,
     SameZone,
@@ -20,7 +20,7 @@
     OtherRegion,
 };
 
-/** A node that is home to servers of the wanted service. */
+/** A node that is home to servers of the requested service. */
 struct HomeCandidate {
     NodeRef node;
     Distance distance = Distance::SameRegion;
@@ -28,10 +28,10 @@
 };
 
 /**
- * Chooses the home for a request from what this node itself has learned: load that came with answers, and paths
- * that failed. Nearer homes go first and farther ones take what those have no room for, so that links between
- * regions carry only what is needed. A path that failed is only a preference of this node: the home stays a last
- * resort, so nothing is ejected by it. Not thread safe.
+ * Chooses the home for a request from what this node has observed: load reported with responses, and failed paths.
+ * Nearer homes are preferred, and farther ones get what nearer ones have no room for, so that links between regions
+ * carry only what is needed. A failed path only lowers this node's preference: the home remains a last resort, so a
+ * failed path ejects nothing. Not thread safe.
  */
 class HomeChooser
 {
@@ -40,21 +40,21 @@
 
     explicit HomeChooser(Random random);
 
-    /** The best home of @p candidates not in @p tried; null if there is none. */
+    /** Returns the best home of @p candidates that is not in @p tried, or null if there is none. */
     const HomeCandidate *choose(const std::string &service, const std::vector<HomeCandidate> &candidates,
                                 const std::set<NodeRef> &tried, SteadyTime now) const;
     void noteSent(const std::string &service, const NodeRef &home);
-    /** An answer or refusal came with the home's free slots and queue. */
+    /** Records the free slots and queue length that the home reported with a response or a refusal. */
     void noteLoad(const std::string &service, const NodeRef &home, std::int32_t freeSlots, std::int32_t queued,
                   SteadyTime now);
-    /** The request to @p home ended; @p failed: its servers gave no answer or a faulty one. */
+    /** Records the end of a request to @p home. @p failed: its servers gave no response or a faulty one. */
     void noteDone(const std::string &service, const NodeRef &home, bool failed, SteadyTime now);
-    /** No answer came over the path to @p home. */
+    /** Records that no response came over the path to @p home. */
     void notePathFailure(const NodeRef &home, SteadyTime now);
-    /** Something came over it. */
+    /** Records that a message came over the path to @p home. */
     void notePathRecovered(const NodeRef &home);
     bool isPathFailed(const NodeRef &home, SteadyTime now) const;
-    /** Forgets homes that no request went to for a while. */
+    /** Removes homes that have been idle for a while. */
     void expire(SteadyTime now);
 
 private:
@@ -63,7 +63,7 @@
         std::int32_t freeSlots = 1;
         std::int32_t queued = 0;
         SteadyTime loadAt;
-        /** Smoothed share of requests that failed there, and when it last changed. */
+        /** Moving average of the share of failed requests, and when it last changed. */
         double failedShare = 0.0;
         SteadyTime lastResultAt;
     };
--- a/src/route/HomeChooser.cpp
+++ b/src/route/HomeChooser.cpp
@@ -6,14 +6,17 @@
 
 namespace {
 
-/** Load that was heard longer ago than this says nothing any more. */
+/** A load report older than this is ignored. */
 constexpr Millis maxLoadAge = std::chrono::seconds(2);
 constexpr Millis idleExpiry = std::chrono::seconds(60);
 constexpr Millis initialPathBackoff{500};
 constexpr int maxPathDoublings = 6;
 constexpr double busyCost = 8.0;
 constexpr double failedPathCost = 1000.0;
-/** A home whose servers fail is avoided for a while: the floor may keep sick servers in service there. */
+/**
+ * Cost of a home whose servers fail all requests. It is avoided for a while because the floor may keep unhealthy
+ * servers in service there.
+ */
 constexpr double failingCost = 20.0;
 constexpr double failedSmoothing = 0.3;
 constexpr Millis maxFailureAge = std::chrono::seconds(5);
@@ -67,7 +70,7 @@
 {
     const HomeCandidate *best = nullptr;
     double bestCost = 0.0;
-    // Starting at a random place spreads equal costs over all homes.
+    // Starting at a random index spreads requests over homes of equal cost.
     const std::size_t start = candidates.empty() ? 0 : random_() % candidates.size();
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const HomeCandidate &candidate = candidates[(start + i) % candidates.size()];
