--- a/src/route/HomeRanking.cpp
+++ b/src/route/HomeRanking.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/** In thousandths; above any other loss, so that such a home is asked last but still asked. */
+/** In thousandths. Above any other loss, so that such a home is tried last, but still tried. */
 constexpr double noServerLoss = 1500.0;
 constexpr double failedPathLoss = 3000.0;
-/** Slots assumed of a home of which nothing was heard. */
+/** Slots assumed of a home without a load report. */
 constexpr int defaultSlots = 3;
 
 double decayWeight(Duration age, Millis halfLife)
@@ -55,14 +55,14 @@
     if (found == homes_.end()) {
         return std::nullopt;
     }
-    // What the more urgent wait, the less urgent wait at least.
-    const auto faded = [&](const ReportedWait &heard) {
-        return decayWeight(now - heard.at, tuning_.loadHalfLife) * heard.millis;
+    // A less urgent request waits at least as long as a more urgent one.
+    const auto decayed = [&](const ReportedWait &report) {
+        return decayWeight(now - report.at, tuning_.loadHalfLife) * report.millis;
     };
     std::optional<ReportedWait> longest;
-    for (const auto &[priority, heard] : found->second.waits) {
-        if (priority <= query.priority && (!longest || faded(heard) > faded(*longest))) {
-            longest = heard;
+    for (const auto &[priority, report] : found->second.waits) {
+        if (priority <= query.priority && (!longest || decayed(report) > decayed(*longest))) {
+            longest = report;
         }
     }
     return longest;
@@ -71,40 +71,40 @@
 HomeRanking::Defaults HomeRanking::defaultsFor(const std::vector<RankedHome> &homes, const HomeQuery &query,
                                                SteadyTime now) const
 {
-    double waits = 0.0;
+    double waitSum = 0.0;
     double waitWeight = tuning_.priorWeight;
-    double doubts = tuning_.priorGrayProbability * tuning_.priorWeight;
-    double doubtWeight = tuning_.priorWeight;
+    double graySum = tuning_.priorGrayProbability * tuning_.priorWeight;
+    double grayWeight = tuning_.priorWeight;
     for (const RankedHome &candidate : homes) {
         const auto found = homes_.find(candidate.node);
         if (found == homes_.end() || !found->second.hasLoad) {
             continue;
         }
         const double grayDecay = decayWeight(now - found->second.loadAt, tuning_.grayHalfLife);
-        doubts += grayDecay * found->second.load.grayProbability;
-        doubtWeight += grayDecay;
-        if (const std::optional<ReportedWait> heard = reportedWait(candidate, query, now)) {
-            const double waitDecay = decayWeight(now - heard->at, tuning_.meanWaitHalfLife);
-            waits += waitDecay * heard->millis;
+        graySum += grayDecay * found->second.load.grayProbability;
+        grayWeight += grayDecay;
+        if (const std::optional<ReportedWait> report = reportedWait(candidate, query, now)) {
+            const double waitDecay = decayWeight(now - report->at, tuning_.meanWaitHalfLife);
+            waitSum += waitDecay * report->millis;
             waitWeight += waitDecay;
         }
     }
-    return Defaults{tuning_.unknownWaitFraction * waits / waitWeight, doubts / doubtWeight};
+    return Defaults{tuning_.unknownWaitFraction * waitSum / waitWeight, graySum / grayWeight};
 }
 
 double HomeRanking::expectedWait(const RankedHome &candidate, const HomeQuery &query, const Defaults &defaults,
                                  SteadyTime now) const
 {
     if (candidate.distance == Distance::SameNode) {
-        // Its own queue is no stranger's: nothing heard means that nobody was refused there.
+        // For this node's own queue no report means that no request was refused there.
         const std::optional<ReportedWait> own = reportedWait(candidate, query, now);
         return own ? own->millis * decayWeight(now - own->at, tuning_.loadHalfLife) : 0.0;
     }
-    const std::optional<ReportedWait> heard = reportedWait(candidate, query, now);
-    if (!heard) {
+    const std::optional<ReportedWait> report = reportedWait(candidate, query, now);
+    if (!report) {
         return defaults.wait;
     }
-    return defaults.wait + decayWeight(now - heard->at, tuning_.loadHalfLife) * (heard->millis - defaults.wait);
+    return defaults.wait + decayWeight(now - report->at, tuning_.loadHalfLife) * (report->millis - defaults.wait);
 }
 
 double HomeRanking::currentGrayProbability(const RankedHome &candidate, const Defaults &defaults, SteadyTime now) const
@@ -113,20 +113,20 @@
     if (found == homes_.end() || !found->second.hasLoad) {
         return defaults.grayProbability;
     }
-    const double fresh = decayWeight(now - found->second.loadAt, tuning_.grayHalfLife);
-    return defaults.grayProbability + fresh * (found->second.load.grayProbability - defaults.grayProbability);
+    const double weight = decayWeight(now - found->second.loadAt, tuning_.grayHalfLife);
+    return defaults.grayProbability + weight * (found->second.load.grayProbability - defaults.grayProbability);
 }
 
-double HomeRanking::delayLoss(double waitMs, double tripMs, double slowdown, const HomeQuery &query) const
+double HomeRanking::delayLoss(double waitMs, double roundTrip, double slowdown, const HomeQuery &query) const
 {
-    const double takes = waitMs + tripMs + slowdown * static_cast<double>(query.workTime.count());
-    const auto danger = [takes](Millis left, double safe, double certain) {
-        const double used = takes / std::max<double>(1.0, static_cast<double>(left.count()));
+    const double duration = waitMs + roundTrip + slowdown * static_cast<double>(query.workTime.count());
+    const auto risk = [duration](Millis left, double safe, double certain) {
+        const double used = duration / std::max<double>(1.0, static_cast<double>(left.count()));
         return std::clamp((used - safe) / (certain - safe), 0.0, 1.0);
     };
-    const double late = danger(query.untilObjective, tuning_.safeFraction, tuning_.lateFraction);
-    const double lost = danger(query.untilDeadline, tuning_.safeDeadlineFraction, tuning_.missedFraction);
-    return tuning_.late * late + (tuning_.lost - tuning_.late) * lost;
+    const double lateRisk = risk(query.untilObjective, tuning_.safeFraction, tuning_.lateFraction);
+    const double missRisk = risk(query.untilDeadline, tuning_.safeDeadlineFraction, tuning_.missedFraction);
+    return tuning_.lateLoss * lateRisk + (tuning_.missedLoss - tuning_.lateLoss) * missRisk;
 }
 
 bool HomeRanking::isCandidate(const RankedHome &candidate, const HomeQuery &query, const Defaults &defaults,
@@ -169,8 +169,8 @@
 {
     double loss = distanceLoss(candidate.distance, query);
     const auto found = homes_.find(candidate.node);
-    // Repeatable work finds out about homes not heard of lately: a server that joins, or of which nobody happened to
-    // hear, would get nothing as long as the others are known to be good and have room.
+    // Retryable work explores homes without a recent report. Otherwise a server that joins, or one without a report by
+    // chance, would get no work as long as the other servers are known to be healthy and have room.
     const bool explores = query.retryable && isStale(candidate, defaults, now);
     if (!explores) {
         loss += currentGrayProbability(candidate, defaults, now)
@@ -185,27 +185,27 @@
     if (!home.hasLoad) {
         return loss + home.inFlight * tuning_.fullServerLoss / defaultSlots;
     }
-    loss += tuning_.shedRate * decayWeight(now - home.loadAt, tuning_.grayHalfLife) * home.load.shedRate;
-    // What this node sent since the news is not in them.
-    const std::int32_t since = std::max(0, home.inFlight - home.inFlightAtLoad);
+    loss += tuning_.shedLoss * decayWeight(now - home.loadAt, tuning_.grayHalfLife) * home.load.shedRate;
+    // Requests that this node sent since the report are not included in it.
+    const std::int32_t sentSince = std::max(0, home.inFlight - home.inFlightAtLoad);
     const double busy =
         decayWeight(now - home.loadAt, tuning_.loadHalfLife) * std::max(0, home.load.slots - home.load.freeSlots);
-    return loss + (since + busy) / std::max(1, home.load.slots) * tuning_.fullServerLoss;
+    return loss + (sentSince + busy) / std::max(1, home.load.slots) * tuning_.fullServerLoss;
 }
 
 Millis HomeRanking::queueTimeoutFor(const RankedHome &home, const HomeQuery &query, const Defaults &defaults,
                                     double loss, SteadyTime now) const
 {
     const double allowed = loss - lossWithoutWait(home, query, defaults, now);
-    const double trip = roundTripMs(home.distance);
+    const double roundTrip = roundTripMs(home.distance);
     const double slowdown = slowdownOf(home, now);
-    // The loss grows with the wait: the longest one allowed is found by bisection, to a few milliseconds.
-    constexpr int halvings = 12;
+    // The loss grows with the wait, so bisection finds the longest allowed wait to within a few milliseconds.
+    constexpr int iterations = 12;
     double longest = 0.0;
     double tooLong = std::max<double>(0.0, static_cast<double>(query.untilDeadline.count()));
-    for (int i = 0; i < halvings; ++i) {
+    for (int i = 0; i < iterations; ++i) {
         const double middle = (longest + tooLong) / 2;
-        (delayLoss(middle, trip, slowdown, query) <= allowed ? longest : tooLong) = middle;
+        (delayLoss(middle, roundTrip, slowdown, query) <= allowed ? longest : tooLong) = middle;
     }
     return Millis(static_cast<std::int64_t>(longest));
 }
@@ -216,8 +216,8 @@
     HomeChoice choice;
     const Defaults defaults = defaultsFor(homes, query, now);
     const RankedHome *best = nullptr;
-    double next = -1.0;
-    // Starting at a random place spreads equal losses over all homes.
+    double nextLoss = -1.0;
+    // Starting at a random index spreads requests over homes of equal loss.
     const std::size_t start = homes.empty() ? 0 : random_() % homes.size();
     for (std::size_t i = 0; i < homes.size(); ++i) {
         const RankedHome &home = homes[(start + i) % homes.size()];
@@ -228,11 +228,11 @@
                             + delayLoss(expectedWait(home, query, defaults, now), roundTripMs(home.distance),
                                         slowdownOf(home, now), query);
         if (best == nullptr || loss < choice.loss) {
-            next = best != nullptr ? choice.loss : next;
+            nextLoss = best != nullptr ? choice.loss : nextLoss;
             best = &home;
             choice.loss = loss;
-        } else if (next < 0.0 || loss < next) {
-            next = loss;
+        } else if (nextLoss < 0.0 || loss < nextLoss) {
+            nextLoss = loss;
         }
     }
     if (best == nullptr) {
@@ -243,17 +243,17 @@
     const double wait = expectedWait(*best, query, defaults, now);
     choice.wait = Millis(static_cast<std::int64_t>(wait));
     choice.missesDeadline =
-        wait > 0.0 && delayLoss(wait, roundTripMs(best->distance), slowdownOf(*best, now), query) >= tuning_.lost;
+        wait > 0.0 && delayLoss(wait, roundTripMs(best->distance), slowdownOf(*best, now), query) >= tuning_.missedLoss;
     choice.acceptsGray = currentGrayProbability(*best, defaults, now) >= tuning_.acceptGrayThreshold;
-    const double fixed = lossWithoutWait(*best, query, defaults, now);
-    double leaveAt = next + tuning_.moveLoss;
-    if (next < 0.0) {
-        // Without another home, what speaks against this one is no reason not to wait there.
-        leaveAt = fixed + tuning_.lost;
+    const double baseLoss = lossWithoutWait(*best, query, defaults, now);
+    double maxLoss = nextLoss + tuning_.moveLoss;
+    if (nextLoss < 0.0) {
+        // Without another home, the drawbacks of this one are no reason not to wait there.
+        maxLoss = baseLoss + tuning_.missedLoss;
     } else if (query.mustQueue) {
-        leaveAt = std::max(leaveAt, fixed + tuning_.late);
+        maxLoss = std::max(maxLoss, baseLoss + tuning_.lateLoss);
     }
-    choice.queueTimeout = queueTimeoutFor(*best, query, defaults, leaveAt, now);
+    choice.queueTimeout = queueTimeoutFor(*best, query, defaults, maxLoss, now);
     const auto found = homes_.find(choice.node);
     if (found != homes_.end() && found->second.hasLoad) {
         choice.loadAge = std::chrono::duration_cast<Millis>(now - found->second.loadAt);
@@ -291,15 +291,15 @@
 
 void HomeRanking::noteLikelyGray(const RankedHome &home, SteadyTime now)
 {
-    Millis pause = tuning_.grayBackoffFar;
+    Millis backoff = tuning_.grayBackoffFar;
     if (home.distance == Distance::SameNode) {
-        pause = Millis(0);
+        backoff = Millis(0);
     } else if (home.distance == Distance::SameZone) {
-        pause = tuning_.grayBackoffZone;
+        backoff = tuning_.grayBackoffZone;
     } else if (home.distance == Distance::SameRegion) {
-        pause = tuning_.grayBackoffRegion;
+        backoff = tuning_.grayBackoffRegion;
     }
-    homes_[home.node].grayBackoffUntil = now + pause;
+    homes_[home.node].grayBackoffUntil = now + backoff;
 }
 
 void HomeRanking::notePathFailure(const std::string &node)
