--- a/include/route/HomeSearch.h
+++ b/include/route/HomeSearch.h
@@ -7,31 +7,34 @@
 namespace waxwing {
 
 struct HomeSearchTuning {
-    /** Refusals cost a round trip each; after so many sends the fleet has no room. */
+    /** Each refusal costs a round trip. After this many sends the fleet has no room. */
     int maxSends = 12;
-    /** One home is asked again once, with what its refusal told. */
+    /** One home is tried once more, with the load that its refusal reported. */
     int maxRefusalsPerHome = 2;
     /**
-     * After so many sends the request waits where it is sent next: in a large fleet a sender knows little of each home,
-     * and would go from one busy home to the next as long as another may be better.
+     * After this many sends the request waits at the next home. In a large fleet a sender has few load reports and
+     * would otherwise go from one busy home to the next as long as another one might be better.
      */
     int sendsBeforeQueuing = 6;
 };
 
-/** One request's way from home to home: which ones it still may ask, and when it stops looking. Not thread safe. */
+/** Tracks which homes one request has tried, and when it stops searching. Not thread safe. */
 class HomeSearch
 {
 public:
     explicit HomeSearch(HomeSearchTuning tuning = {});
-    /** Another home may be asked. */
+    /** Returns true if another home may be tried. */
     bool canContinue() const;
-    /** The next home that takes it keeps it: no other one is likely to be better. */
+    /**
+     * Returns true if the request is to wait at the next home that admits it, since no other home is likely to be
+     * better.
+     */
     bool mustQueue() const;
-    /** It is sent to @p home, which is not asked again unless it refuses. */
+    /** Records a send to @p home, which is not tried again unless it refuses. */
     void noteSent(const std::string &home);
-    /** @p home refused; it may be asked again, with what it told. */
+    /** Records a refusal by @p home, which may be tried again with the load that it reported. */
     void noteRefused(const std::string &home);
-    /** Homes that are not asked any more. */
+    /** Homes that are not tried again. */
     const std::set<std::string> &excluded() const;
 
 private:
