--- a/include/health/Detector.h
+++ b/include/health/Detector.h
@@ -9,37 +9,39 @@
 
 namespace waxwing {
 
-/** What one real request says about the server that ran it. Refused (shed) work says nothing and is no evidence. */
+/** Evidence from one real request about the server that ran it. A shed request is no evidence. */
 enum class Evidence {
-    /** Whole answer in time. */
+    /** Complete response in time. */
     Good,
-    /** Answer later than the intent's response time, or none yet at that time. */
+    /** Response after the intent's response time, or none yet at that time. */
     Late,
-    /** A request known to be late is still unanswered another step later. */
+    /** A late request is still without a response one step later. */
     StillWaiting,
-    /** Reset, cut, garbled or a server error. */
+    /** Connection reset, truncated or malformed response, or server error. */
     Failed,
 };
 
-/** After a request became late, each further step of this length is StillWaiting evidence. Thread safe. */
+/**
+ * Returns the length of a step: after a request became late, each further step adds StillWaiting evidence. Thread safe.
+ */
 Millis lateStepOf(Millis responseTime);
 
-/** Decides from evidence whether one server is sick. Not thread safe. */
+/** Decides from evidence whether one server is unhealthy. Not thread safe. */
 class Detector
 {
 public:
     virtual ~Detector() = default;
-    /** @p peerBadShare: share of bad evidence among the other servers of the same service, 0 to 1. */
+    /** Adds evidence. @p peerBadShare: share of bad evidence among the other servers of the same service, 0 to 1. */
     virtual void add(Evidence evidence, double peerBadShare, SteadyTime now) = 0;
     virtual bool isUnhealthy() const = 0;
-    /** How far the evidence has come towards sick: 1 or more is sick. */
+    /** Returns the evidence relative to the threshold: from 1 on the server is unhealthy. */
     virtual double suspicion() const = 0;
     virtual void reset() = 0;
 };
 
 using DetectorFactory = std::function<std::unique_ptr<Detector>(EjectionPolicy)>;
 
-/** Baseline: sick after a number of bad results in a row. */
+/** Baseline: unhealthy after a number of bad results in a row. */
 class ConsecutiveDetector final : public Detector
 {
 public:
@@ -54,7 +56,7 @@
     int consecutive_ = 0;
 };
 
-/** Baseline: sick when the bad share in a sliding window is far above that of the peers. */
+/** Baseline: unhealthy when the share of bad results in a sliding window is far above that of the peers. */
 class OutlierDetector final : public Detector
 {
 public:
@@ -77,8 +79,8 @@
 };
 
 /**
- * Sequential test (CUSUM of the log-likelihood ratio): each result shifts a score by how much likelier it is from a
- * sick server than from the peers. The threshold is the one thing that the intent's care sets.
+ * Sequential test (CUSUM of the log-likelihood ratio): each result shifts a score by how much likelier it is from an
+ * unhealthy server than from the peers. The intent's ejection policy sets only the threshold.
  */
 class CusumDetector final : public Detector
 {
@@ -88,7 +90,7 @@
     bool isUnhealthy() const override;
     double suspicion() const override;
     void reset() override;
-    /** Score at which a server counts as sick. Thread safe. */
+    /** Returns the score from which on a server is unhealthy. Thread safe. */
     static double threshold(EjectionPolicy policy);
 
 private:
--- a/src/health/Detector.cpp
+++ b/src/health/Detector.cpp
@@ -9,11 +9,11 @@
 
 constexpr Millis outlierWindow = std::chrono::seconds(10);
 
-/** Least share of bad results taken for normal: below it a single one would weigh too much. */
+/** Lower bound of the share of bad results that counts as normal. Below it a single bad result would weigh too much. */
 constexpr double minHealthyShare = 0.005;
 constexpr double minUnhealthyShare = 0.25;
 constexpr double maxShare = 0.98;
-/** A healthy server's late request ends within a further step about half of the time. */
+/** A late request at a healthy server ends within one further step about half of the time. */
 constexpr double stillWaitingRatio = 0.65;
 
 constexpr Millis minLateStep{25};
@@ -141,12 +141,12 @@
         step = std::log(unhealthy / healthy);
         break;
     case Evidence::StillWaiting:
-        // Where the peers are late as well, waiting longer says little about this one.
+        // If the peers are late as well, further waiting is weak evidence about this server.
         step = stillWaitingRatio * std::max(0.0, 1.0 - healthy * 2.0);
         break;
     }
-    // The score may pass the threshold only by a little, so that a server that is kept for lack of a permit can
-    // still work its way back with good results.
+    // The score is capped a little above the threshold, so that an unhealthy server that the floor keeps in service can
+    // still recover with good results.
     score_ = std::clamp(score_ + step, 0.0, threshold_ * 1.5);
 }
 
