--- a/include/health/GrayFilter.h
+++ b/include/health/GrayFilter.h
@@ -6,50 +6,53 @@
 
 namespace waxwing {
 
-/** What is known of gray servers beforehand; each phase then shows its own share of failures and its own length. */
+/** Prior knowledge about gray servers. Each gray phase then shows its own failure rate and length. */
 struct GrayTuning {
-    /** Share of requests that a sound server fails: one in a hundred, by the users' account. */
+    /** Share of requests that a healthy server fails: one in a hundred, as users report. */
     double healthyFailureRate = 0.012;
-    /** Share that a gray one fails: 40 to 75 in a hundred, by the users' account. */
+    /** Share of requests that a gray server fails: 40 to 75 in a hundred, as users report. */
     double grayFailureRate = 0.6;
-    /** How many requests of a phase weigh as much as grayFailureRate in the estimate of this phase's share. */
+    /** Weight of @c grayFailureRate in the estimate for a phase, in requests of that phase. */
     double priorWeight = 2.0;
-    /** How long a gray phase lasts on average: 5 to 8 s, by the users' account. */
+    /** Mean length of a gray phase: 5 to 8 s, as users report. */
     Millis meanGrayDuration = std::chrono::milliseconds(6500);
-    /** A phase that has lasted longer than meanGrayDuration is expected to last as long again, up to this. */
+    /** A phase that has lasted longer than @c meanGrayDuration is expected to last as long again, up to this. */
     Millis maxGrayDuration = std::chrono::seconds(20);
-    /** How long a server is well in between; with meanGrayDuration it says that one in six is gray at any time. */
+    /**
+     * Mean time between gray phases. Together with @c meanGrayDuration it means that one server in six is gray at any
+     * time.
+     */
     Millis meanHealthyDuration = std::chrono::seconds(30);
-    /** However many good answers came: a server can turn gray between two of them. */
+    /** Lower bound, after any number of successes: a server can turn gray between two of them. */
     double minProbability = 0.002;
-    /** However many failures came: the phase can end between two of them, and good answers then count. */
+    /** Upper bound, after any number of failures: the phase can end between two of them, and successes then count. */
     double maxProbability = 0.99;
 };
 
 /**
- * Probability that a server is gray now, from what its requests met: the forward filter of a hidden Markov model with
- * two states. Gray phases end by themselves, so the probability moves back to what is usual as time passes without
- * evidence, and a server needs no ejection time.
+ * Estimates the probability that a server is gray now from the results of its requests. It is the forward filter of a
+ * hidden Markov model with two states. Gray phases end by themselves, so without evidence the probability returns to
+ * its stationary value over time, and a server needs no ejection time.
  *
- * Phases differ: some fail half of the requests for a few seconds, some nearly all for a quarter of a minute. So the
- * share of failures and the length are estimated anew in each phase. With fixed ones, a server in a long phase was
- * tried again up to six times a second, and each trial cost a second send. Not thread safe.
+ * Phases differ: some fail half of the requests for a few seconds, others nearly all of them for 15 seconds. The
+ * failure rate and the length are therefore estimated anew in each phase. With fixed values, a server in a long phase
+ * was probed up to six times a second, and each probe cost a retry. Not thread safe.
  */
 class GrayFilter
 {
 public:
     explicit GrayFilter(GrayTuning tuning = {});
-    /** A request ended well. */
+    /** Records a success. */
     void addSuccess(SteadyTime now);
-    /** A request failed. @p ratio: how much likelier such a failure is from a gray server than from a well one. */
+    /** Records a failure. @p ratio: likelihood ratio of such a failure (gray server to healthy server). */
     void addFailure(double ratio, SteadyTime now);
-    /** Probability that the server is gray, 0 to 1. */
+    /** Returns the probability that the server is gray, 0 to 1. */
     double grayProbability(SteadyTime now) const;
-    /** A new process: nothing is known of it. */
+    /** Discards all evidence, for a new process of the server. */
     void reset(SteadyTime now);
 
 private:
-    /** A stretch of time in which the server was likelier gray than not. */
+    /** A period in which the server was likelier gray than not. */
     struct Phase {
         SteadyTime since;
         SteadyTime lastFailure;
@@ -58,9 +61,9 @@
     };
 
     void applyRatio(double ratio, SteadyTime now);
-    /** Share of requests that fail in the phase that runs. */
+    /** Returns the estimated share of requests that fail in the current phase. */
     double currentFailureRate() const;
-    /** How long the phase that runs is expected to go on. */
+    /** Returns for how long the current phase is expected to continue. */
     Duration expectedGrayDuration() const;
 
     GrayTuning tuning_;
--- a/src/health/GrayFilter.cpp
+++ b/src/health/GrayFilter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** From this probability on a gray phase is taken to have begun, and below the other one to be over. */
+/** A gray phase begins at the first probability and ends below the second one. */
 constexpr double phaseStartThreshold = 0.5;
 constexpr double phaseEndThreshold = 0.1;
 
@@ -45,12 +45,12 @@
 
 void GrayFilter::addFailure(double ratio, SteadyTime now)
 {
-    const bool began = !phase_ || grayProbability(now) < phaseEndThreshold;
+    const bool starts = !phase_ || grayProbability(now) < phaseEndThreshold;
     applyRatio(ratio, now);
     if (probability_ < phaseStartThreshold) {
         return;
     }
-    if (began) {
+    if (starts) {
         phase_ = Phase{now, now, 0.0, 0.0};
     }
     phase_->lastFailure = now;
