--- a/include/health/ServerHealth.h
+++ b/include/health/ServerHealth.h
@@ -9,57 +9,60 @@
 namespace waxwing {
 
 enum class ServerPhase {
-    /** Newly started: takes a growing share of its slots. */
+    /** After a start or return: uses a growing share of its slots. */
     Ramp,
     InService,
-    /** Out until its time is over. */
+    /** Gets no requests until its ejection time is over. */
     Ejected,
-    /** One idempotent request at a time until it has shown enough good results. */
+    /** Gets one idempotent request at a time until enough of them have succeeded. */
     Probation,
 };
 
 const char *serverPhaseName(ServerPhase phase);
 
-/** Times and counts of leaving and returning. */
+/** Durations and counts for ejection and return. */
 struct HealthTuning {
     Millis ramp = std::chrono::seconds(10);
     Millis firstEjection = std::chrono::seconds(5);
     Millis maxEjection = std::chrono::minutes(5);
-    /** After this long in service a past ejection no longer lengthens the next. */
+    /** After this long in service an earlier ejection no longer lengthens the next one. */
     Millis resetRelapsesAfter = std::chrono::minutes(10);
     int successesToReturn = 5;
     int maxSuccessesToReturn = 40;
-    /** Without idempotent work to try it with, a server gets one other request after this long on probation. */
+    /**
+     * A server on probation for this long gets one non-idempotent request, for lack of idempotent ones to probe it
+     * with.
+     */
     Millis probationWithoutProbe = std::chrono::seconds(30);
 };
 
 /**
- * The life of one server at its home: ramp, in service, ejected, probation, ramp. It only says what the evidence
- * supports; whether an ejection is allowed is the floor's decision. Each return after a relapse costs more time and
- * more evidence, so that a server that flaps is out for most of the time. Not thread safe.
+ * State machine of one server at its home: ramp, in service, ejected, probation, ramp. It only reports what the
+ * evidence supports; the floor decides whether an ejection is allowed. Each return after a relapse takes more time and
+ * more evidence, so that a flapping server is out of service for most of the time. Not thread safe.
  */
 class ServerHealth
 {
 public:
     ServerHealth(std::unique_ptr<Detector> detector, HealthTuning tuning, SteadyTime now);
 
-    /** Adds evidence and moves a server on probation. */
+    /** Adds evidence. May change the phase of a server on probation. */
     void add(Evidence evidence, double peerBadShare, SteadyTime now);
-    /** Moves the phase as time passes. Call before reading it. */
+    /** Advances the phase with time. Call before reading it. */
     void tick(SteadyTime now);
-    /** The floor allowed it: takes the server out. */
+    /** Ejects the server. The floor must have allowed it. */
     void eject(SteadyTime now);
-    /** The process was replaced: it starts with a ramp and no history of its own. */
+    /** The process was replaced: starts a ramp without history. */
     void restarted(SteadyTime now);
 
     ServerPhase phase() const;
     bool shouldEject() const;
     double suspicion() const;
-    /** True while the server counts as healthy capacity. */
+    /** Returns true while the server counts as healthy capacity. */
     bool countsAsInService() const;
-    /** How many of @p slots it may use now; probation allows one. */
+    /** Returns how many of @p slots the server may use now. On probation it is one. */
     std::uint32_t usableSlots(std::uint32_t slots, SteadyTime now) const;
-    /** True if a request of this kind may go to it now. */
+    /** Returns true if a request of this kind may go to the server now. */
     bool accepts(bool idempotent, SteadyTime now) const;
     Millis currentEjection() const;
     int relapses() const;
--- a/src/health/ServerHealth.cpp
+++ b/src/health/ServerHealth.cpp
@@ -48,7 +48,7 @@
     }
     const bool warming = phase_ == ServerPhase::Ramp && coldStart_;
     if (warming && (evidence == Evidence::Late || evidence == Evidence::StillWaiting)) {
-        // A cold start is slow without being sick; failures still count.
+        // A cold start is slow although the server is healthy. Failures still count.
         return;
     }
     detector_->add(evidence, peerBadShare, now);
@@ -144,8 +144,9 @@
     case ServerPhase::Ramp:
         break;
     }
-    const double part = std::chrono::duration<double>(now - phaseStart_) / std::chrono::duration<double>(tuning_.ramp);
-    const auto usable = static_cast<std::uint32_t>(part * slots) + 1;
+    const double fraction =
+        std::chrono::duration<double>(now - phaseStart_) / std::chrono::duration<double>(tuning_.ramp);
+    const auto usable = static_cast<std::uint32_t>(fraction * slots) + 1;
     return std::min(slots, usable);
 }
 
@@ -155,7 +156,7 @@
         return false;
     }
     if (phase_ == ServerPhase::Probation) {
-        // Trying a doubtful server with work that can't be sent again would risk that work.
+        // Probing a suspect server with work that can't be retried would risk that work.
         return idempotent || now - phaseStart_ >= tuning_.probationWithoutProbe;
     }
     return true;
