--- a/include/limit/FairQueue.h
+++ b/include/limit/FairQueue.h
@@ -20,22 +20,22 @@
 };
 
 /**
- * The bounded queue of one service: classes take turns, and customers within a class take turns, so that neither
- * a busy customer nor a slow class makes the others wait behind all of its requests. Not thread safe.
+ * Bounded queue of one service, served round robin over classes, and within a class over customers, so that neither a
+ * busy customer nor a slow class makes the others wait behind all of its requests. Not thread safe.
  */
 class FairQueue
 {
 public:
-    /** @pre @p perClass >= 1: most requests of one class that may wait. */
+    /** @pre @p perClass >= 1: largest number of waiting requests of one class. */
     explicit FairQueue(std::size_t perClass);
 
-    /** False if the class's share of the queue is full. */
+    /** Appends a request. Returns false if the queue of its class is full. */
     bool push(QueuedRequest request);
-    /** The next request whose class @p mayStart allows; nothing if there is none. Returns whether @p out was set. */
+    /** Removes the next request that @p mayStart allows and stores it in @p out. Returns false if there is none. */
     bool pop(const std::function<bool(const QueuedRequest &)> &mayStart, QueuedRequest &out);
-    /** Takes out a request that was cancelled. False if it is not waiting. */
+    /** Removes a cancelled request. Returns false if it is not waiting. */
     bool remove(std::uint64_t id);
-    /** Takes out and returns requests whose deadline is at or before @p now. */
+    /** Removes and returns the requests whose deadline is at or before @p now. */
     std::vector<QueuedRequest> takeExpired(SteadyTime now);
     std::size_t size() const;
     std::size_t sizeOf(const std::string &className) const;
@@ -45,7 +45,7 @@
         std::string name;
         std::deque<QueuedRequest> waiting;
     };
-    /** Customers in the order of their turns. */
+    /** Customers in round-robin order. */
     struct ClassQueue {
         std::deque<Customer> turns;
         std::size_t size = 0;
