--- a/include/limit/FleetRetryBudget.h
+++ b/include/limit/FleetRetryBudget.h
@@ -8,63 +8,73 @@
 
 namespace waxwing {
 
-/** The bound that all nodes together must keep on what they send a service beyond each request's first time. */
+/** Limit on the retries and hedges that all nodes together send to one service. */
 struct FleetRetryTuning {
-    /** Share of the requests for the service that may be sent once more. */
+    /** Retries allowed per request for the service. */
     double share = 0.2;
-    /** So many more in a window, for the whole fleet. */
+    /** Additional retries allowed per window, for the whole fleet. */
     double slack = 50.0;
     Millis window = std::chrono::seconds(10);
     /**
-     * Part of the bound that nodes use; the rest covers nodes whose counts were lost in a restart, and the calls that a
-     * repeated run repeats, which are known as a mean and not before a first run.
+     * Fraction of the limit that nodes use. The rest covers nodes that lost their counts in a restart, and nested calls
+     * that a retried run repeats: they are known only as a mean, and not before the first run.
      */
     double usableFraction = 0.75;
-    /** Sends borrowed from another node are used at once or not at all, so that both count them in the same window. */
+    /**
+     * Tokens transferred from another node expire after this time, so that both nodes count them in the same window.
+     */
     Millis transferLifetime{500};
-    /** Sends that are less urgent, or only may turn out useful, leave this part to the others. */
+    /** Fraction that hedges and low-priority retries leave to other retries. */
     double reservedFraction = 0.5;
 };
 
-/** How a node whose part is spent borrows. */
+/** How a node that has used up its tokens requests more from other nodes. */
 struct TransferTuning {
-    /** Other nodes asked for one loan, one after the other until there is enough. */
+    /** Nodes asked for one transfer, one after another until there are enough tokens. */
     std::size_t maxDonors = 12;
-    /** Asked for beyond what is missing: the next failure is near. What is not used soon is lost to the fleet. */
+    /**
+     * Tokens requested beyond those missing, for the next failure. Tokens that are not used in time are lost to the
+     * fleet.
+     */
     double extraTokens = 2.0;
 };
 
-/** What a second send is for. */
+/** Why a request is sent again. */
 enum class RetryReason {
-    /** The first one failed. */
+    /** The first send failed. */
     Failure,
-    /** The first one failed, and more urgent requests need the service's second sends as well. */
+    /** The first send failed, and more urgent requests also need retries of the service. */
     LowPriorityFailure,
-    /** The first one takes long. */
+    /** The first send takes long. */
     Hedge,
 };
 
 /**
- * Sends of one service beyond the first, bounded over a sliding window. Each node spends the share of its own requests
- * and an equal part of the fleet's slack, so the sum keeps the bound whoever is cut off. A node whose part is spent
- * borrows from others: the lender counts what it lends as sent, so the sum stays the same, and a reply that is lost
- * wastes sends but never makes any. Not thread safe.
+ * Retry budget of one service over a sliding window, shared by the fleet. Each node uses the share of its own requests
+ * and an equal part of the fleet's slack, so the sum stays within the limit even if nodes are cut off from each other.
+ * A node that has used up its tokens gets more from others. The donor counts transferred tokens as used, so the sum
+ * does not change, and a lost reply loses tokens but never creates any. Not thread safe.
  */
 class FleetRetryBudget
 {
 public:
     explicit FleetRetryBudget(FleetRetryTuning tuning = {});
-    /** A request for the service was taken from a caller. */
+    /** Records a request for the service from a caller. */
     void noteRequest(SteadyTime now);
-    /** True if @p tokens more second sends keep the bound. @p nodes: how many share the slack. */
+    /** Returns true if @p tokens more retries stay within the limit. @p nodes: number of nodes that share the slack. */
     bool has(double tokens, std::size_t nodes, RetryReason reason, SteadyTime now) const;
-    /** Counts them. A send that repeats calls of its own counts a mean number of them at the service called. */
+    /**
+     * Uses @p tokens. A retry whose run makes nested calls also uses their mean number in the budget of the called
+     * service.
+     */
     void take(double tokens, SteadyTime now);
-    /** Sends that were taken did not happen. */
+    /** Returns tokens that were taken for sends that did not happen. */
     void refund(double tokens, SteadyTime now);
-    /** Lends another node up to @p tokens, and not more than half of what is left here. Returns how many. */
+    /**
+     * Transfers up to @p tokens to another node, at most half of those remaining here. Returns the number transferred.
+     */
     double transferOut(double tokens, RetryReason reason, std::size_t nodes, SteadyTime now);
-    /** Another node lent @p tokens. */
+    /** Adds @p tokens that another node transferred. */
     void transferIn(double tokens, SteadyTime now);
 
 private:
@@ -77,10 +87,10 @@
 
     struct Transfer {
         double tokens = 0.0;
-        SteadyTime until;
+        SteadyTime expiresAt;
     };
 
-    /** What may still be sent by this node's own part. */
+    /** Returns what remains of this node's own part. */
     double remaining(std::size_t nodes, RetryReason reason, SteadyTime now) const;
     double transferredTokens(SteadyTime now) const;
     Step &stepAt(SteadyTime now);
@@ -88,7 +98,7 @@
 
     FleetRetryTuning tuning_;
     std::array<Step, steps + 1> steps_{};
-    /** Each expires by itself: a new loan must not prolong an earlier one. */
+    /** Each transfer expires on its own, so a new one does not prolong an earlier one. */
     std::deque<Transfer> transfers_;
 };
 
--- a/src/limit/FleetRetryBudget.cpp
+++ b/src/limit/FleetRetryBudget.cpp
@@ -41,16 +41,16 @@
         }
     }
     const double slack = tuning_.slack / static_cast<double>(std::max<std::size_t>(1, nodes));
-    const double part = reason == RetryReason::Failure ? tuning_.usableFraction
-                                                       : tuning_.usableFraction * (1.0 - tuning_.reservedFraction);
-    return part * (tuning_.share * requests + slack) - retries;
+    const double fraction = reason == RetryReason::Failure ? tuning_.usableFraction
+                                                           : tuning_.usableFraction * (1.0 - tuning_.reservedFraction);
+    return fraction * (tuning_.share * requests + slack) - retries;
 }
 
 double FleetRetryBudget::transferredTokens(SteadyTime now) const
 {
     double tokens = 0.0;
     for (const Transfer &transfer : transfers_) {
-        tokens += now < transfer.until ? transfer.tokens : 0.0;
+        tokens += now < transfer.expiresAt ? transfer.tokens : 0.0;
     }
     return tokens;
 }
@@ -62,17 +62,17 @@
 
 void FleetRetryBudget::take(double tokens, SteadyTime now)
 {
-    while (!transfers_.empty() && now >= transfers_.front().until) {
+    while (!transfers_.empty() && now >= transfers_.front().expiresAt) {
         transfers_.pop_front();
     }
-    // What is borrowed goes first: it is void in a moment.
-    double own = tokens;
+    // Transferred tokens are used first because they expire soon.
+    double rest = tokens;
     for (Transfer &transfer : transfers_) {
-        const double used = std::min(own, transfer.tokens);
+        const double used = std::min(rest, transfer.tokens);
         transfer.tokens -= used;
-        own -= used;
+        rest -= used;
     }
-    stepAt(now).retries += own;
+    stepAt(now).retries += rest;
 }
 
 void FleetRetryBudget::refund(double tokens, SteadyTime now)
