--- a/include/limit/NestedCallTracker.h
+++ b/include/limit/NestedCallTracker.h
@@ -10,48 +10,51 @@
 
 namespace waxwing {
 
-/** Mean calls of one run, by the service called. */
+/** Mean number of nested calls of one run, by the called service. */
 using CallRates = std::map<std::string, double>;
 
 /**
- * Learns how many calls the runs of each route make. A repeated run repeats its calls, and they count as repeats at the
- * service that they call; but nothing in a call names its parent. What a home sees: which works run at its server, and
- * which requests come from its VM. A server's own calls come only while it runs something, callers' requests at any
- * time; and a call is made by one of the works that run, most likely by one of a route that was seen to make calls.
+ * Estimates how many nested calls the runs of each route make. A retried run repeats its calls, which count as retries
+ * at the called service, but a call does not name the run that made it. A home sees which runs are in progress at its
+ * server and which requests come from its VM. The server makes calls only while it runs something, whereas callers send
+ * requests at any time. A call belongs to one of the runs in progress, most likely to one of a route with known calls.
  * Not thread safe.
  */
 class NestedCallTracker
 {
 public:
-    /** The server began to run a work of @p route, as urgent as @p rank says; 0 is the most urgent. */
+    /** The server started a run of @p route. @p rank: its urgency; 0 is the most urgent. */
     void begin(std::uint64_t runId, const std::string &route, int rank, SteadyTime now);
     void end(std::uint64_t runId, SteadyTime now);
-    /** A request of @p route for @p service came from this VM. */
+    /** Records a request of @p route for @p service that came from this VM. */
     void arrived(const std::string &route, const std::string &service, SteadyTime now);
     /**
-     * Requests of @p route are calls of the server, not of callers: callers' requests would have come while it was idle
-     * several times by now. False as long as that is open, which it stays beside a server that is never idle.
+     * Returns true if requests of @p route are nested calls of the server: if they came from callers, several would
+     * have arrived while the server was idle. False while there is too little evidence, which is always so beside a
+     * server that is never idle.
      */
     bool isNestedCall(const std::string &route) const;
-    /** A home that sees the requests of many VMs says that those of @p route are calls of servers. */
+    /** Records that a home, which sees the requests of many VMs, reported requests of @p route as nested calls. */
     void markNested(const std::string &route);
-    /** A request of @p route for @p service, which came from this VM, was not answered with success. */
+    /** Records that a request of @p route for @p service from this VM failed. */
     void failed(const std::string &route, const std::string &service);
     /**
-     * A call that @p runId may have made failed while it ran: its own failure says nothing about the server then. False
-     * if the work does not run.
+     * Returns true if a call that @p runId may have made failed while it ran: then a failure of the run is no evidence
+     * about the server. False if the run is not in progress.
      */
     bool hadFailedCall(std::uint64_t runId) const;
-    /** Rank of the most urgent work under way that may call @p service; nothing if none is seen to. */
+    /**
+     * Returns the rank of the most urgent run in progress that may call @p service, or nothing if no run is known to.
+     */
     std::optional<int> callerRank(const std::string &service) const;
-    /** Calls of one run of @p route; empty if it makes none. */
+    /** Returns the mean calls of one run of @p route; empty if it makes none. */
     const CallRates &rates(const std::string &route) const;
 
 private:
     struct Arrivals {
         std::uint32_t whileBusy = 0;
         std::uint32_t whileIdle = 0;
-        /** For how long the server was busy and idle since the first one came, and how often idle. */
+        /** Time for which the server was busy and idle since the first arrival, and the number of idle periods. */
         double busySeconds = 0.0;
         double idleSeconds = 0.0;
         std::uint32_t idlePeriods = 0;
@@ -64,13 +67,13 @@
     };
 
     void count(const std::string &route, SteadyTime now);
-    /** By a weaker test, for what is to be paid for: better one call too many than one too few. */
+    /** Weaker test, used for accounting: counting one call too many is better than one too few. */
     bool mayBeNestedCall(const std::string &route) const;
-    /** Counts the time up to @p now as busy or idle; to be called before runs_ changes. */
+    /** Counts the time up to @p now as busy or idle. To be called before @c runs_ changes. */
     void advanceTime(SteadyTime now);
-    /** A run begins on a server that ran nothing. */
+    /** Ends the idle period when a run starts on an idle server. */
     void endIdlePeriod();
-    /** How readily a call is put down to a run of @p route. */
+    /** Returns the weight with which a call is attributed to a run of @p route. */
     double callWeight(const std::string &route, const std::string &service) const;
 
     std::map<std::string, Arrivals> arrivals_;
@@ -79,7 +82,7 @@
     double idleSeconds_ = 0.0;
     SteadyTime advancedAt_;
     std::map<std::string, CallRates> rates_;
-    /** Runs ended, by route: the first ones weigh more, so that a rate is known from the first run on. */
+    /** Finished runs by route. The first ones have more weight, so that a rate is known from the first run on. */
     std::map<std::string, std::uint32_t> runsEnded_;
 };
 
--- a/src/limit/NestedCallTracker.cpp
+++ b/src/limit/NestedCallTracker.cpp
@@ -6,25 +6,33 @@
 
 namespace {
 
-/** A route can't be the server's calls from this share of requests that came while the server was idle. */
+/** From this share of requests that came while the server was idle, a route is not one of nested calls. */
 constexpr double maxIdleShareOfCalls = 0.03;
-/** So many requests of callers would have come while the server was idle; by chance none of them does one time in 20.
+/**
+ * Expected number of requests during idle times if they came from callers. By chance none arrives with probability 1 in
+ * 20.
  */
 constexpr double minExpectedIdleArrivals = 3.0;
-/** And if fewer than this part of them came then: a call may still be read when its run has ended. */
+/**
+ * Largest fraction of the expected requests that may arrive during idle times: a call may still be read after its run
+ * has ended.
+ */
 constexpr double maxIdleFractionOfCalls = 0.25;
-/** Callers that stop sending all at once leave the server idle, too: several idle periods, none counted for long. */
+/**
+ * The server is also idle when all callers stop at once. Therefore several idle periods are required, and only this
+ * many seconds of each count.
+ */
 constexpr std::uint32_t minIdlePeriods = 5;
 constexpr double maxIdleSecondsCounted = 0.5;
-/** Counts are halved from here on, so that a route whose use changed is judged anew. */
+/** Counts are halved from here on, so that a route whose use changes is classified anew. */
 constexpr std::uint32_t maxCounted = 1000;
-/** Weight of the newest run in a route's rate, once there were many. */
+/** Weight of the newest run in a route's rate after many runs. */
 constexpr double smoothing = 0.05;
-/** Weight of a route that was not seen to make calls yet: enough to be found, too little to take others' calls. */
+/** Weight of a route without known calls: enough to detect calls, too little to take the calls of other routes. */
 constexpr double unknownWeight = 0.02;
-/** Routes that make fewer calls a run were given them by mistake, or their failures seldom come from a call. */
+/** Fewer calls per run were attributed to a route by mistake, or its failures seldom come from a call. */
 constexpr double minCallerRate = 0.2;
-/** Rates below this are what is put down to a route by mistake. */
+/** A rate below this was attributed to a route by mistake. */
 constexpr double minRate = 0.05;
 
 } // namespace
@@ -37,16 +45,16 @@
         idleSeconds_ += elapsed;
         return;
     }
-    for (auto &[route, seen] : arrivals_) {
-        seen.busySeconds += elapsed;
+    for (auto &[route, arrivals] : arrivals_) {
+        arrivals.busySeconds += elapsed;
     }
 }
 
 void NestedCallTracker::endIdlePeriod()
 {
-    for (auto &[route, seen] : arrivals_) {
-        seen.idleSeconds += std::min(idleSeconds_, maxIdleSecondsCounted);
-        ++seen.idlePeriods;
+    for (auto &[route, arrivals] : arrivals_) {
+        arrivals.idleSeconds += std::min(idleSeconds_, maxIdleSecondsCounted);
+        ++arrivals.idlePeriods;
     }
     idleSeconds_ = 0.0;
 }
@@ -87,14 +95,14 @@
 void NestedCallTracker::count(const std::string &route, SteadyTime now)
 {
     advanceTime(now);
-    Arrivals &seen = arrivals_[route];
-    (runs_.empty() ? seen.whileIdle : seen.whileBusy) += 1;
-    if (seen.whileBusy + seen.whileIdle >= maxCounted) {
-        seen.whileBusy /= 2;
-        seen.whileIdle /= 2;
-        seen.busySeconds /= 2;
-        seen.idleSeconds /= 2;
-        seen.idlePeriods /= 2;
+    Arrivals &arrivals = arrivals_[route];
+    (runs_.empty() ? arrivals.whileIdle : arrivals.whileBusy) += 1;
+    if (arrivals.whileBusy + arrivals.whileIdle >= maxCounted) {
+        arrivals.whileBusy /= 2;
+        arrivals.whileIdle /= 2;
+        arrivals.busySeconds /= 2;
+        arrivals.idleSeconds /= 2;
+        arrivals.idlePeriods /= 2;
     }
 }
 
@@ -104,8 +112,8 @@
     if (found == arrivals_.end()) {
         return false;
     }
-    const Arrivals &seen = found->second;
-    return seen.whileIdle <= maxIdleShareOfCalls * (seen.whileBusy + seen.whileIdle);
+    const Arrivals &arrivals = found->second;
+    return arrivals.whileIdle <= maxIdleShareOfCalls * (arrivals.whileBusy + arrivals.whileIdle);
 }
 
 void NestedCallTracker::markNested(const std::string &route)
@@ -122,10 +130,11 @@
     if (found == arrivals_.end()) {
         return false;
     }
-    const Arrivals &seen = found->second;
-    const double expected = seen.busySeconds > 0.0 ? seen.whileBusy / seen.busySeconds * seen.idleSeconds : 0.0;
-    const bool enough = seen.idlePeriods >= minIdlePeriods && expected >= minExpectedIdleArrivals;
-    return enough && seen.whileIdle < maxIdleFractionOfCalls * expected;
+    const Arrivals &arrivals = found->second;
+    const double expected =
+        arrivals.busySeconds > 0.0 ? arrivals.whileBusy / arrivals.busySeconds * arrivals.idleSeconds : 0.0;
+    const bool enough = arrivals.idlePeriods >= minIdlePeriods && expected >= minExpectedIdleArrivals;
+    return enough && arrivals.whileIdle < maxIdleFractionOfCalls * expected;
 }
 
 double NestedCallTracker::callWeight(const std::string &route, const std::string &service) const
