--- a/include/limit/RetryBudget.h
+++ b/include/limit/RetryBudget.h
@@ -4,18 +4,15 @@
 
 namespace waxwing {
 
-/**
- * Lets retries be at most a share of first attempts, so that they never amplify an overload.
- * Not thread safe.
- */
+/** Limits retries to a share of first attempts, so that they never amplify an overload. Not thread safe. */
 class RetryBudget
 {
 public:
-    /** @pre 0 <= @p share <= 1; @p burst >= 1: retries that may come at once after quiet. */
+    /** @pre 0 <= @p share <= 1; @p burst >= 1: retries allowed at once after an idle time. */
     explicit RetryBudget(double share = 0.1, double burst = 10.0);
-    /** A first attempt was made. */
+    /** Records a first attempt. */
     void noteAttempt();
-    /** Takes one retry from the budget; false if none is left. */
+    /** Takes one retry from the budget. Returns false if none is left. */
     bool tryRetry();
 
 private:
