--- a/include/limit/RouteOrigins.h
+++ b/include/limit/RouteOrigins.h
@@ -9,24 +9,24 @@
 namespace waxwing {
 
 /**
- * Tells routes that only servers call from those of callers, by where their requests come from. Callers stand on every
- * VM; a server's calls come only from VMs of the services that make them. A route whose requests never come from the
- * VMs of some service, though many came from zones where that service has VMs, is one of servers.
+ * Distinguishes routes that only servers call from routes of callers by the origin of their requests. Callers are on
+ * every VM, while the calls of a server come only from VMs of the services that make them. If requests of a route never
+ * come from the VMs of some service, although many came from zones with VMs of that service, they are nested calls.
  *
- * Seen from the VM where a call begins this takes long or for ever, since a busy server is never idle; the home that is
- * called sees the requests of many VMs at once. Not thread safe.
+ * The VM on which a call begins learns this late or never, because a busy server is never idle. The called home sees
+ * the requests of many VMs at once. Not thread safe.
  */
 class RouteOrigins
 {
 public:
-    /** Part of the VMs of @p zone whose server belongs to one of @p services, 0 to 1. */
+    /** Returns the fraction of the VMs of @p zone whose server belongs to one of @p services, 0 to 1. */
     using ShareOf = std::function<double(const std::string &zone, const std::set<std::string> &services)>;
 
     explicit RouteOrigins(ShareOf shareOf);
 
-    /** A request of @p route came from a VM in @p zone whose server belongs to @p service. */
+    /** Records a request of @p route from a VM in @p zone whose server belongs to @p service. */
     void note(const std::string &route, const std::string &zone, const std::string &service);
-    /** Requests of @p route are calls of servers. False as long as chance explains where they came from. */
+    /** Returns true if requests of @p route are nested calls. False while their origins may be due to chance. */
     bool isNestedCall(const std::string &route) const;
 
 private:
--- a/src/limit/RouteOrigins.cpp
+++ b/src/limit/RouteOrigins.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/** One chance in about ten thousand that callers' requests came from these VMs only. */
+/** Probability of about 1 in 10000 that requests of callers came only from these VMs. */
 constexpr double evidenceThreshold = 9.0;
-/** A zone whose VMs all belong to the calling services says nothing; no request is worth more than this. */
+/** A zone whose VMs all belong to the calling services gives no evidence. Bounds the weight of one request. */
 constexpr double minShare = 0.05;
-/** Counts start anew from here on: configurations change what services call. */
+/** Counts start anew from here on, because a configuration can change which services call the route. */
 constexpr std::uint32_t maxCounted = 2000;
 
 } // namespace
