--- a/include/limit/TokenBucket.h
+++ b/include/limit/TokenBucket.h
@@ -4,19 +4,19 @@
 
 namespace waxwing {
 
-/** A rate with a burst. Not thread safe. */
+/** Limits a rate, with bursts. Not thread safe. */
 class TokenBucket
 {
 public:
     /** @pre @p perSecond >= 0 and @p burst >= 0. Starts full. */
     TokenBucket(double perSecond, double burst, SteadyTime now);
-    /** Takes @p tokens; false, and nothing taken, if there are fewer. */
+    /** Takes @p tokens. Returns false and takes none if there are fewer. */
     bool tryTake(double tokens, SteadyTime now);
-    /** As tryTake(), but only while at least @p least are there. */
-    bool tryTakeAbove(double tokens, double least, SteadyTime now);
-    /** Takes @p tokens even below zero, for costs known only afterwards. */
+    /** Like tryTake(), but only if at least @p minTokens are there. */
+    bool tryTakeAbove(double tokens, double minTokens, SteadyTime now);
+    /** Takes @p tokens even if the balance becomes negative, for costs known only afterwards. */
     void take(double tokens, SteadyTime now);
-    /** True if any token is left. */
+    /** Returns true if the balance is positive. */
     bool hasAny(SteadyTime now);
     void setRate(double perSecond, double burst);
 
--- a/src/limit/TokenBucket.cpp
+++ b/src/limit/TokenBucket.cpp
@@ -28,10 +28,10 @@
     return true;
 }
 
-bool TokenBucket::tryTakeAbove(double tokens, double least, SteadyTime now)
+bool TokenBucket::tryTakeAbove(double tokens, double minTokens, SteadyTime now)
 {
     refill(now);
-    return tokens_ >= least && tryTake(tokens, now);
+    return tokens_ >= minTokens && tryTake(tokens, now);
 }
 
 void TokenBucket::take(double tokens, SteadyTime now)
