--- a/include/floor/HomeFloor.h
+++ b/include/floor/HomeFloor.h
@@ -13,21 +13,21 @@
 
 namespace waxwing {
 
-/** What one home promised: to keep at least @c pledge servers in service, of the @c capacity it has seen. */
+/** Pledge of one home: it keeps at least @c pledge servers in service, of the @c capacity it has seen. */
 struct Pledge {
     NodeRef home;
     std::uint32_t pledge = 0;
     std::uint32_t capacity = 0;
 };
 
-/** The object in the platform's store that holds every home's pledge for one service. */
+/** The object in the platform's store with every home's pledge for one service. */
 struct PledgeTable {
-    /** Version of the object; 0: it does not exist. */
+    /** Version of the object; 0 if it does not exist. */
     std::uint64_t version = 0;
     std::vector<Pledge> pledges;
 
     const Pledge *find(const NodeRef &home) const;
-    /** Sets or adds the pledge of @p home. */
+    /** Adds or replaces the pledge of @p home. */
     void set(const Pledge &pledge);
     void erase(const NodeRef &home);
     std::string json() const;
@@ -35,54 +35,59 @@
     static Expected<PledgeTable> parse(std::uint64_t version, const std::string &json);
 };
 
-/** Servers that must stay in service, by @p floor and the capacity in @p table. Thread safe. */
+/** Returns how many servers must stay in service, by @p floor and the capacity in @p table. Thread safe. */
 std::uint32_t requiredServers(const CapacityFloor &floor, const PledgeTable &table);
 
 /**
  * One home's part in a service's healthy capacity floor.
  *
- * Guards against several homes, none of which knows what the others do, ejecting more servers together than the
- * floor allows. The sheet's pledges add up to the floor or more whenever one is lowered, since a pledge is lowered
- * only by a conditional update that checks the sum; and a home believes its own pledge to be at least what the
- * sheet says, because it raises its belief before it writes and lowers it after the write is known to have
- * taken effect. So what the homes keep adds up to the floor, whoever is paused, cut off or without the store.
- * Not thread safe.
+ * Prevents several homes that do not know each other's decisions from ejecting more servers together than the floor
+ * allows. Whenever a pledge is lowered, the pledges in the table still add up to at least the floor, because a pledge
+ * is lowered only by a conditional update that checks the sum. A home assumes its own pledge to be at least the one in
+ * the table: it raises the assumed pledge before the write, and lowers it only after the write is known to have taken
+ * effect. So the servers that the homes keep add up to the floor even if a home is paused, cut off or without the
+ * store. Not thread safe.
  */
 class HomeFloor
 {
 public:
-    /** Servers in service at another home, or nothing if that incarnation is not up. */
+    /** Returns the servers in service at another home, or nothing if that incarnation is not up. */
     using InServiceOf = std::function<std::optional<std::uint32_t>(const NodeRef &)>;
 
     HomeFloor(NodeRef self, InServiceOf inServiceOf);
 
     void setFloor(const CapacityFloor &floor);
-    /** @p inService of @p announced servers here are healthy now. */
+    /** Sets the capacity: @p inService of @p announced servers here are healthy now. */
     void setCapacity(std::uint32_t announced, std::uint32_t inService, SteadyTime now);
 
-    /** True if one more ejection here leaves the floor whole. */
+    /** Returns true if the floor still holds after one more ejection here. */
     bool mayEject() const;
-    /** An ejection was wanted and not allowed: what the others pledge may have changed since this home last looked. */
+    /** Records that an ejection was not allowed: other homes' pledges may have changed since the table was read. */
     void noteEjectionBlocked();
-    /** True if a look at the sheet may allow more: after a blocked ejection, or when a home of @p homes is not in it.
+    /**
+     * Returns true if a newer table may allow more: after a blocked ejection, or if a home of @p homes is not in the
+     * table.
      */
     bool needsRefresh(const std::vector<NodeRef> &homes) const;
-    /** Takes the sheet as it was just read. @pre no proposal is under way. */
+    /** Sets the table as just read from the store. @pre no proposal is in progress. */
     void updateTable(PledgeTable current);
-    /** Servers that this home must keep in service now, for explanations. */
+    /** Returns how many servers this home must keep in service now, for reports. */
     std::uint32_t mustKeep() const;
     std::uint32_t pledge() const;
-    /** The sheet as this home last knew it. */
+    /** Returns the table as last known. */
     const PledgeTable &knownTable() const;
 
     /**
-     * The change to the sheet that this home wants, to be written on condition of the sheet's version. @p mayAbsorb:
-     * this home is the one of the service's homes that takes over the pledges of homes that are gone.
+     * Returns the table with the change that this home wants, to be written on condition of the table's version. @p
+     * mayAbsorb: this is the one home of the service that takes over the pledges of departed homes.
      */
     std::optional<PledgeTable> proposal(bool mayAbsorb = true);
-    /** The last proposal took effect and the sheet has @p version. */
+    /** The last proposal took effect, and the table now has @p version. */
     void accepted(std::uint64_t version);
-    /** Somebody else's version stands. Without @p current only the proposal is dropped, as when an answer is lost. */
+    /**
+     * The last proposal did not take effect because the table has another version, @p current. Without @p current the
+     * proposal is dropped, as after a lost reply.
+     */
     void rejected(std::optional<PledgeTable> current);
 
 private:
@@ -95,7 +100,7 @@
     CapacityFloor floor_;
     PledgeTable table_;
     std::optional<PledgeTable> pending_;
-    /** Never below this home's pledge in the store. */
+    /** Never less than this home's pledge in the store. */
     std::uint32_t assumedPledge_ = 0;
     bool registered_ = false;
     bool blocked_ = false;
--- a/src/floor/HomeFloor.cpp
+++ b/src/floor/HomeFloor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Lost servers count towards a floor given as a share for this long, so that deaths are not followed by ejections. */
+/** Lost servers count towards a floor given as a share for this long, so that crashes are not followed by ejections. */
 constexpr Millis capacityRetention = std::chrono::minutes(15);
 
 } // namespace
@@ -59,7 +59,7 @@
         }
         return table;
     } catch (const nlohmann::json::exception &error) {
-        return fail(ErrorCode::Malformed, std::string("pledge sheet: ") + error.what());
+        return fail(ErrorCode::Malformed, std::string("pledge table: ") + error.what());
     }
 }
 
@@ -99,7 +99,7 @@
         if (one.home == self_) {
             continue;
         }
-        // A pledge of a home that is gone, or that has lost its servers, keeps nothing in service.
+        // A pledge of a home that has departed or lost its servers keeps nothing in service.
         covered += std::min(one.pledge, inServiceOf_(one.home).value_or(0));
     }
     return covered;
@@ -124,10 +124,10 @@
 
 bool HomeFloor::needsRefresh(const std::vector<NodeRef> &homes) const
 {
-    const bool knowsAll = std::all_of(homes.begin(), homes.end(), [this](const NodeRef &home) {
+    const bool hasAll = std::all_of(homes.begin(), homes.end(), [this](const NodeRef &home) {
         return home == self_ || table_.find(home) != nullptr;
     });
-    return blocked_ || !knowsAll;
+    return blocked_ || !hasAll;
 }
 
 void HomeFloor::updateTable(PledgeTable current)
@@ -148,22 +148,22 @@
 
 bool HomeFloor::absorbDepartedHome(PledgeTable &table, Pledge &mine) const
 {
-    for (const Pledge &gone : table.pledges) {
-        if (gone.home == self_ || inServiceOf_(gone.home).has_value()) {
+    for (const Pledge &departed : table.pledges) {
+        if (departed.home == self_ || inServiceOf_(departed.home).has_value()) {
             continue;
         }
         const std::uint32_t spare = inService_ > mine.pledge ? inService_ - mine.pledge : 0;
-        const std::uint32_t moved = std::min(spare, gone.pledge);
-        if (moved == 0 && gone.pledge > 0) {
+        const std::uint32_t moved = std::min(spare, departed.pledge);
+        if (moved == 0 && departed.pledge > 0) {
             continue;
         }
         mine.pledge += moved;
-        Pledge rest = gone;
-        rest.pledge -= moved;
-        // What was moved and what is left add up to what stood there, so the sum is unchanged.
-        table.erase(rest.home);
-        if (rest.pledge > 0) {
-            table.set(rest);
+        Pledge remainder = departed;
+        remainder.pledge -= moved;
+        // The moved and the remaining part add up to the earlier pledge, so the sum does not change.
+        table.erase(remainder.home);
+        if (remainder.pledge > 0) {
+            table.set(remainder);
         }
         return true;
     }
@@ -180,10 +180,10 @@
     }
     const double exact = total == 0 ? required : static_cast<double>(required) * mine.capacity / total;
     const auto fair = std::min<std::uint32_t>(mine.capacity, static_cast<std::uint32_t>(exact));
-    const std::uint32_t least = required > covered ? required - covered : 0;
-    // Shares are rounded down; who lowers last keeps the rest, since lowering is allowed only as far as the others'
-    // covered pledges and this one still add up to the floor.
-    const std::uint32_t wanted = std::max(fair, std::min(least, mine.capacity));
+    const std::uint32_t minimum = required > covered ? required - covered : 0;
+    // Shares are rounded down. The home that lowers its pledge last keeps the remainder, because a pledge is lowered
+    // only as far as it and the covered pledges of the others still add up to the floor.
+    const std::uint32_t wanted = std::max(fair, std::min(minimum, mine.capacity));
     if (wanted == mine.pledge || (wanted < mine.pledge && covered + wanted < required)) {
         return false;
     }
@@ -209,7 +209,7 @@
     if (!changed) {
         return std::nullopt;
     }
-    // The belief is raised before the write: if its answer is lost the home keeps the stricter promise.
+    // Raised before the write: if the reply is lost, the home keeps the stricter pledge.
     assumedPledge_ = std::max(assumedPledge_, mine.pledge);
     pending_ = next;
     return next;
@@ -236,7 +236,7 @@
     table_ = std::move(*current);
     const Pledge *mine = table_.find(self_);
     registered_ = mine != nullptr;
-    // No entry: others took this home for gone and moved its pledge to themselves. It starts over.
+    // Without an entry: other homes took this home for departed and absorbed its pledge. It registers again.
     assumedPledge_ = mine != nullptr ? mine->pledge : capacity_;
 }
 
