--- a/include/poison/PoisonRegistry.h
+++ b/include/poison/PoisonRegistry.h
@@ -12,38 +12,38 @@
 
 namespace waxwing {
 
-/** Digest under which a request that ends its server is recognised, whoever sends it. Thread safe. */
+/** Returns the digest that identifies a poison request, whoever sends it. Thread safe. */
 std::uint64_t requestDigest(const std::string &service, const HttpRequest &request);
 
-/** A server's death with a request running, as nodes tell it each other. */
+/** Crash of a server while it ran a request, as nodes report it to each other. */
 struct PoisonDeath {
     std::uint64_t digest = 0;
-    /** Names the server and its incarnation. */
+    /** Id and incarnation of the server. */
     std::string server;
 };
 
 /** Thread safe. */
 Record toRecord(const PoisonDeath &death, WallTime at);
-/** Nothing if the record's key can't be read. Thread safe. */
+/** Returns nothing if the record's key is malformed. Thread safe. */
 std::optional<PoisonDeath> poisonDeathFrom(const Record &record);
 
 /**
- * Counts the servers that died while they ran a given request. Guards against one request ending server after
- * server as its caller sends it again: after the second death it goes to no server any more. Deaths found by other
- * nodes are added too, and the same death may be added more than once. Not thread safe.
+ * Counts the servers that crashed while they ran a given request. Prevents one request from crashing server after
+ * server when its caller retries it: after the second crash it is sent to no server. Crashes that other nodes report
+ * are added too, and the same crash may be added more than once. Not thread safe.
  */
 class PoisonRegistry
 {
 public:
     static constexpr std::size_t deathsToRefuse = 2;
 
-    /** @pre @p clock outlives the registry; @p retention: how long a death counts. */
+    /** @pre @p clock outlives the registry. @p retention: how long a crash counts. */
     explicit PoisonRegistry(const Clock &clock, Millis retention = std::chrono::hours(1));
-    /** @p server names the server and its incarnation. Returns true if the death was not known. */
+    /** Records a crash. @p server: its id and incarnation. Returns false if the crash was already known. */
     bool noteDeath(std::uint64_t digest, const std::string &server);
     std::size_t deaths(std::uint64_t digest) const;
     bool mustRefuse(std::uint64_t digest) const;
-    /** Drops digests whose last death is older than the memory. */
+    /** Removes digests whose last crash is older than the retention time. */
     void expire();
     std::size_t size() const;
 
