--- a/tests/unit/SlotQueueTest.cpp
+++ b/tests/unit/SlotQueueTest.cpp
@@ -10,7 +10,7 @@
 
 const SteadyTime start = SteadyTime(std::chrono::hours(1));
 
-/** A home whose server has three slots and works for about 200 ms. */
+/** A home whose server has three slots and works for about 200 ms on a request. */
 struct OneServer {
     OneServer()
     {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The server fails a request at once, as gray servers do. */
+    /** Fails a request at once, as gray servers do. */
     void failAtOnce()
     {
         queue.addResult("read", true, Millis(1), now);
@@ -68,7 +68,7 @@
     CHECK(queue.poll(now).start.empty());
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, no server, refuses and says so")
+TEST_CASE_FIXTURE(OneServer, "slot queue, no server, refuses with that reason")
 {
     queue.clearServer();
     const SlotDecision decision = submit(request("read", true));
@@ -76,10 +76,10 @@
     CHECK(decision.reason == RefusalReason::NoServer);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, server leaves, gives back what waited so that other homes can take it")
+TEST_CASE_FIXTURE(OneServer, "slot queue, server leaves, returns waiting requests for other homes")
 {
-    // A caller's booking waits at a home whose server says that it leaves. If the home kept it in the queue, it would
-    // be handed to the leaving server when a slot frees, seconds after the leaving was acknowledged.
+    // A request is queued when the server begins to leave. If the home kept it in the queue, the leaving server would
+    // get it when a slot frees, seconds after its deregistration was acknowledged.
     fill();
     const SlotRequest waiting = request("book", false);
     REQUIRE(submit(waiting).action == SlotAction::Queue);
@@ -88,7 +88,7 @@
     CHECK(queue.poll(now).start.empty());
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, more urgent work that came later, starts first")
+TEST_CASE_FIXTURE(OneServer, "slot queue, more urgent request arrives later, starts first")
 {
     fill();
     const SlotRequest slow = request("browse", true, 2);
@@ -99,7 +99,7 @@
     CHECK(queue.poll(now).start == std::vector<std::uint64_t>{urgent.id});
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, work that is late already, goes behind work that can be in time")
+TEST_CASE_FIXTURE(OneServer, "slot queue, request already late, goes behind requests that can be in time")
 {
     fill();
     SlotRequest late = request("read", true, 1);
@@ -111,18 +111,18 @@
     CHECK(queue.poll(now).start == std::vector<std::uint64_t>{inTime.id});
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, wait beyond the request's patience, refuses at once instead of holding it")
+TEST_CASE_FIXTURE(OneServer, "slot queue, expected wait above the queue timeout, refuses at once")
 {
     fill();
-    SlotRequest impatient = request("read", true);
-    impatient.queueTimeout = Millis(20);
-    const SlotDecision decision = submit(impatient);
+    SlotRequest shortTimeout = request("read", true);
+    shortTimeout.queueTimeout = Millis(20);
+    const SlotDecision decision = submit(shortTimeout);
     CHECK(decision.action == SlotAction::Refuse);
     CHECK(decision.reason == RefusalReason::Busy);
     CHECK(queue.load(1, now).wait > Millis(20));
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, patience spent, takes the request out and never starts it")
+TEST_CASE_FIXTURE(OneServer, "slot queue, queue timeout passed, removes the request and never starts it")
 {
     fill();
     const SlotRequest waiting = request("read", true);
@@ -135,11 +135,11 @@
 }
 
 TEST_CASE_FIXTURE(OneServer,
-                  "slot queue, less urgent work overtaken again and again, is told the real wait and refused")
+                  "slot queue, less urgent request overtaken repeatedly, is refused because of the real wait")
 {
-    // On a day of high load an office manager's calendar waits behind bookings that keep coming. The estimate counts
-    // only those that are there already, lets the calendar in, and it waits in vain until its time is over. After some
-    // of these the home must say what the wait really is, so that the caller is refused at once.
+    // Under high load, less urgent requests wait behind urgent ones that keep arriving. An estimate from the queue
+    // alone admits them, and they time out in the queue. After a few of these, the estimate must include the later
+    // arrivals, so that the request is refused at once.
     SlotRequest calendar = request("browse", true, 2);
     SlotDecision decision;
     for (int round = 0; round < 30; ++round) {
@@ -159,10 +159,10 @@
     CHECK(decision.reason == RefusalReason::Busy);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, late work that those in time leave no room for, is given back at once")
+TEST_CASE_FIXTURE(OneServer, "slot queue, late request with no slot before its timeout, is returned at once")
 {
-    // On a day of high load a booking that had become late waited behind others until its time was over, a second or
-    // more, and then was refused. It can't be served: its caller hears so as soon as the home knows.
+    // Under high load, a request that has become late waits behind others for a second or more until its timeout and is
+    // then refused. It can't be served, so the home must return it as soon as that is known.
     for (int round = 0; round < 20; ++round) {
         fill();
         now += Millis(200);
@@ -181,11 +181,11 @@
         REQUIRE(submit(other).action == SlotAction::Queue);
     }
     now += Millis(850);
-    const SlotQueue::PollResult due = queue.poll(now);
-    CHECK(std::count(due.expired.begin(), due.expired.end(), booking.id) == 1);
+    const SlotQueue::PollResult result = queue.poll(now);
+    CHECK(std::count(result.expired.begin(), result.expired.end(), booking.id) == 1);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, late work at a home with room, goes on waiting")
+TEST_CASE_FIXTURE(OneServer, "slot queue, late request at a home with room, continues to wait")
 {
     fill();
     SlotRequest booking = request("book", false);
@@ -195,10 +195,11 @@
     CHECK(queue.poll(now).expired.empty());
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, one failure that came at once, keeps work that can't be tried again away")
+TEST_CASE_FIXTURE(OneServer, "slot queue, one fast failure, refuses requests that can't be retried")
 {
-    // A gray server answers 500 within a millisecond while its health is good. A booking that meets it is lost for
-    // good, since it may have run; a calendar can be asked again elsewhere and shows whether the server is well again.
+    // A gray server answers 500 within a millisecond while it passes its health checks. A non-idempotent request that
+    // it fails is lost, because it may have run. An idempotent one can be retried elsewhere and shows whether the
+    // server has recovered.
     failAtOnce();
     const SlotDecision booking = submit(request("book", false));
     CHECK(booking.action == SlotAction::Refuse);
@@ -206,26 +207,25 @@
     CHECK(submit(request("read", true)).action == SlotAction::Start);
 }
 
-TEST_CASE_FIXTURE(OneServer,
-                  "slot queue, one failure after the usual work time, is the request's and keeps nobody away")
+TEST_CASE_FIXTURE(OneServer, "slot queue, one failure after the usual work time, refuses nothing")
 {
     queue.addResult("read", true, Millis(200), now);
     CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, doubtful server, gets idempotent trials one at a time and not at once again")
+TEST_CASE_FIXTURE(OneServer, "slot queue, server likely gray, admits one idempotent probe per interval")
 {
     failAtOnce();
-    const SlotRequest trial = request("read", true);
-    REQUIRE(submit(trial).action == SlotAction::Start);
+    const SlotRequest probe = request("read", true);
+    REQUIRE(submit(probe).action == SlotAction::Start);
     CHECK(submit(request("read", true)).reason == RefusalReason::LikelyGray);
-    queue.release(trial.id, now);
+    queue.release(probe.id, now);
     CHECK(submit(request("read", true)).reason == RefusalReason::LikelyGray);
     now += Millis(160);
     CHECK(submit(request("read", true)).action == SlotAction::Start);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, good trials, bring the server back for all work")
+TEST_CASE_FIXTURE(OneServer, "slot queue, successful probes, admit all requests again")
 {
     failAtOnce();
     for (int i = 0; i < 6; ++i) {
@@ -234,7 +234,7 @@
     CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, sender that knows of the doubt, is let in")
+TEST_CASE_FIXTURE(OneServer, "slot queue, sender accepts a gray server, is admitted")
 {
     failAtOnce();
     SlotRequest booking = request("book", false);
@@ -242,7 +242,7 @@
     CHECK(submit(booking).action == SlotAction::Start);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, server turns gray while bookings wait, gives them back for other homes")
+TEST_CASE_FIXTURE(OneServer, "slot queue, server turns gray while requests wait, returns them for other homes")
 {
     fill();
     const SlotRequest booking = request("book", false);
@@ -251,64 +251,63 @@
     CHECK(queue.poll(now).expired == std::vector<std::uint64_t>{booking.id});
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, trials that keep failing, are made less and less often")
+TEST_CASE_FIXTURE(OneServer, "slot queue, probes keep failing, interval between them grows")
 {
-    // Servers that fail nearly everything for a quarter of a minute were tried six times a second all the while. Each
-    // trial took one of the two servers that a calendar request may use, and a second send; the second server was often
-    // a gray one too.
+    // Servers that failed nearly everything for 15 seconds were probed six times a second. Each probe used up one of
+    // the two attempts of an idempotent request and a retry, and the second server was often gray too.
     failAtOnce();
-    int trials = 0;
+    int probes = 0;
     for (const SteadyTime end = now + std::chrono::seconds(12); now < end; now += Millis(20)) {
-        const SlotRequest trial = request("read", true);
-        if (submit(trial).action == SlotAction::Start) {
-            ++trials;
+        const SlotRequest probe = request("read", true);
+        if (submit(probe).action == SlotAction::Start) {
+            ++probes;
             failAtOnce();
-            queue.release(trial.id, now);
+            queue.release(probe.id, now);
         }
     }
-    CHECK(trials <= 16);
-    // The floor of servers in use is judged over two seconds: none may go without work for so long.
-    CHECK(trials >= 6);
+    CHECK(probes <= 16);
+    // The floor of servers in use is measured over two seconds: no server may be without work for that long.
+    CHECK(probes >= 6);
 }
 
-// Guards against trials that take the second sends which requests at other servers need: in a fleet of hundreds some
-// sender knocks whenever a trial may be made.
-TEST_CASE_FIXTURE(OneServer, "slot queue, gray phase of six seconds in a large fleet, costs six trials at most")
+// Guards against probes that use up the retries which requests at other servers need: in a fleet of hundreds of nodes
+// some sender has a request whenever a probe is due.
+TEST_CASE_FIXTURE(OneServer, "slot queue, gray phase of six seconds in a large fleet, admits at most six probes")
 {
-    const auto trialsOf = [&](bool acceptsGray) {
-        int trials = 0;
+    const auto countProbes = [&](bool acceptsGray) {
+        int probes = 0;
         failAtOnce();
         for (const SteadyTime end = now + Millis(6500); now < end; now += Millis(20)) {
-            SlotRequest trial = request("read", true);
-            trial.acceptsGray = acceptsGray;
-            if (submit(trial).action == SlotAction::Start) {
-                ++trials;
+            SlotRequest probe = request("read", true);
+            probe.acceptsGray = acceptsGray;
+            if (submit(probe).action == SlotAction::Start) {
+                ++probes;
                 failAtOnce();
-                queue.release(trial.id, now);
+                queue.release(probe.id, now);
             }
         }
-        return trials;
+        return probes;
     };
-    CHECK(trialsOf(false) <= 6);
-    // Who has no better home finds out sooner: the capacity is needed.
+    CHECK(countProbes(false) <= 6);
+    // Senders without a better home probe sooner, because the capacity is needed.
     for (int i = 0; i < 12; ++i) {
         queue.addResult("read", false, Millis(200), now);
     }
-    CHECK(trialsOf(true) >= 7);
+    CHECK(countProbes(true) >= 7);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, last try of a request that can be repeated, is not used as a trial")
+TEST_CASE_FIXTURE(OneServer, "slot queue, last attempt of an idempotent request, is not used as a probe")
 {
-    // A certificate look-up that a gray server failed is sent to a second server, and there is no third. That one was
-    // gray too, its home knew it, and let the look-up in as a trial.
+    // A request that failed at a gray server goes to a second server, and there is no third attempt. If the second
+    // server is likely gray too, its home must not admit the request as a probe.
     failAtOnce();
     CHECK(submit(request("read", false)).reason == RefusalReason::LikelyGray);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, server that surely is gray, refuses also those that say they know of it")
+TEST_CASE_FIXTURE(OneServer, "slot queue, server almost certainly gray, refuses senders that accept a gray server")
 {
-    // With all sound homes busy, bookings went knowingly into servers that failed nine of ten, and their callers could
-    // not tell whether they had a seat. A refusal tells them that they have none and may come again.
+    // With all healthy homes busy, senders knowingly used servers that failed nine of ten requests, and callers could
+    // not know whether their request had run. After a refusal they know that it has not and that they may retry.
     failAtOnce();
     failAtOnce();
     SlotRequest booking = request("book", false);
@@ -316,7 +315,7 @@
     CHECK(submit(booking).reason == RefusalReason::LikelyGray);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, trials end well, server is back after three of them")
+TEST_CASE_FIXTURE(OneServer, "slot queue, three successful probes after many failures, admit all requests again")
 {
     for (int i = 0; i < 12; ++i) {
         failAtOnce();
@@ -327,15 +326,14 @@
     CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
-TEST_CASE_FIXTURE(OneServer,
-                  "slot queue, another process of the server, starts without the doubt about the earlier one")
+TEST_CASE_FIXTURE(OneServer, "slot queue, new process of the server, starts without earlier evidence")
 {
     failAtOnce();
     queue.setServer(3, true, now);
     CHECK(submit(request("book", false)).action == SlotAction::Start);
 }
 
-TEST_CASE("gray filter, silence after a failure, moves back to the usual doubt by itself")
+TEST_CASE("gray filter, no evidence after a failure, returns to the stationary probability")
 {
     GrayFilter filter;
     const double usual = filter.grayProbability(start);
@@ -345,20 +343,20 @@
     CHECK(filter.grayProbability(start + std::chrono::seconds(60)) == doctest::Approx(usual).epsilon(0.01));
 }
 
-TEST_CASE("gray filter, phase that has lasted long, is expected to go on as long again")
+TEST_CASE("gray filter, long phase, is expected to last as long again")
 {
-    GrayFilter brief;
-    brief.addFailure(500.0, start);
-    GrayFilter lasting;
+    GrayFilter shortPhase;
+    shortPhase.addFailure(500.0, start);
+    GrayFilter longPhase;
     for (int second = 0; second <= 15; second += 3) {
-        lasting.addFailure(500.0, start + std::chrono::seconds(second));
+        longPhase.addFailure(500.0, start + std::chrono::seconds(second));
     }
     const Duration pause = std::chrono::seconds(5);
-    CHECK(lasting.grayProbability(start + std::chrono::seconds(15) + pause)
-          > brief.grayProbability(start + pause) + 0.1);
+    CHECK(longPhase.grayProbability(start + std::chrono::seconds(15) + pause)
+          > shortPhase.grayProbability(start + pause) + 0.1);
 }
 
-TEST_CASE("gray filter, phase that fails nearly everything, is over after few good answers")
+TEST_CASE("gray filter, phase that fails nearly everything, ends after few successes")
 {
     GrayFilter half;
     GrayFilter all;
@@ -375,7 +373,7 @@
     CHECK(half.grayProbability(start) > 0.45);
 }
 
-TEST_CASE("gray filter, a failure among many good answers, is less than a failure after silence")
+TEST_CASE("gray filter, failure after many successes, weighs less than one without evidence")
 {
     GrayFilter busy;
     for (int i = 0; i < 10; ++i) {
