--- a/tests/unit/HomeRankingTest.cpp
+++ b/tests/unit/HomeRankingTest.cpp
@@ -8,18 +8,18 @@
 
 const SteadyTime start = SteadyTime(std::chrono::hours(1));
 
-/** Two homes in the own zone, one in the region's other zone, one in another region; nothing is known of them. */
+/** Two homes in the own zone, one in the other zone of the region and one in another region, without load reports. */
 struct FourHomes {
     HomeChoice choose(bool idempotent = true, const std::set<std::string> &without = {}, double kilobytes = 0.0)
     {
-        HomeQuery need;
-        need.responseKilobytes = kilobytes;
-        need.retryable = idempotent;
-        need.priority = 1;
-        need.untilObjective = Millis(1000);
-        need.untilDeadline = Millis(3000);
-        need.workTime = Millis(200);
-        return ranking.choose(homes, without, need, now);
+        HomeQuery query;
+        query.responseKilobytes = kilobytes;
+        query.retryable = idempotent;
+        query.priority = 1;
+        query.untilObjective = Millis(1000);
+        query.untilDeadline = Millis(3000);
+        query.workTime = Millis(200);
+        return ranking.choose(homes, without, query, now);
     }
 
     void load(const std::string &node, std::int32_t freeSlots, Millis wait, double grayProbability,
@@ -43,14 +43,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, nothing known, stays in the zone")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, no load reports, stays in the zone")
 {
     CHECK(choose().node[0] == 'a');
     CHECK(choose(true, {"a1", "a2"}).node == "b1");
     CHECK(choose(true, {"a1", "a2", "b1"}).node == "far");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, a wait that leaves the objective safe, is better than another zone's bytes")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, wait that leaves the objective safe, is preferred to another zone")
 {
     load("a1", 0, Millis(100), 0.02);
     load("a2", 0, Millis(120), 0.02);
@@ -59,10 +59,10 @@
     CHECK(choice.queueTimeout >= Millis(100));
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, a large answer, waits in the region where a small one goes to another")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, large response, waits in the region where a small one leaves it")
 {
-    // Downloads of 90 KB went to other regions as readily as look-ups of 400 bytes, over links that are narrow and paid
-    // by volume, where each held up what came behind it.
+    // Responses of 90 KB went to other regions as readily as responses of 400 bytes. The links between regions are
+    // narrow and paid by volume, and each large response delayed the messages behind it.
     for (const char *near : {"a1", "a2", "b1"}) {
         load(near, 0, Millis(640), 0.02);
     }
@@ -71,11 +71,10 @@
     CHECK(choose(true, {"a1", "a2", "b1"}, 90.0).node == "far");
 }
 
-TEST_CASE_FIXTURE(FourHomes,
-                  "home ranking, a home not heard of for a second, is found out about by work that can be repeated")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, home without a report for a second, is tried by retryable work")
 {
-    // Each sender kept to the homes that had answered it well. Homes of which nobody happened to hear got nothing for
-    // many seconds, with sound servers beside them, while others were full: less than the floor's share was in use.
+    // Each sender kept using the homes that had reported low load. Homes without a report got no work for many seconds
+    // although their servers were healthy, while others were full: fewer servers than the floor's share were in use.
     load("a1", 3, Millis(0), 0.002);
     load("a2", 3, Millis(0), 0.4);
     now += std::chrono::milliseconds(4000);
@@ -84,7 +83,7 @@
     CHECK(choose(false).node == "a1");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, a home in doubt, is not found out about before gray phases usually end")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, home likely gray, is not tried before gray phases usually end")
 {
     load("a2", 3, Millis(0), 0.99);
     now += std::chrono::milliseconds(1500);
@@ -92,22 +91,23 @@
     CHECK(choose(true).node == "a1");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, servers with many slots, are filled evenly and not one after the other")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, servers with many slots, are filled evenly")
 {
-    // Only the last three free slots of a server counted: with eleven, some were full and slow while others were idle.
+    // Only the last three free slots of a server counted. With eleven slots each, some servers were full and slow while
+    // others were idle.
     load("a1", 4, Millis(0), 0.002, 11);
     load("a2", 9, Millis(0), 0.002, 11);
     CHECK(choose(false).node == "a2");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, a wait that endangers the objective, goes to the next zone")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, wait that endangers the objective, goes to the next zone")
 {
     load("a1", 0, Millis(900), 0.02);
     load("a2", 0, Millis(900), 0.02);
     CHECK(choose().node == "b1");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, every home would be too late, says so instead of sending")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, every home too late, reports a missed deadline")
 {
     for (const RankedHome &home : homes) {
         load(home.node, 0, Millis(3000), 0.02);
@@ -118,10 +118,10 @@
 }
 
 TEST_CASE_FIXTURE(FourHomes,
-                  "home ranking, doubtful homes in the zone, sends bookings across regions rather than into them")
+                  "home ranking, homes in the region likely gray, sends non-idempotent work to another region")
 {
-    // Three of a region's four homes were known to be gray. Requests went there again two seconds later, because the
-    // doubt was forgotten faster than gray phases end, and were lost.
+    // Three of a region's four homes were known to be gray. Two seconds later requests went there again and were lost,
+    // because the probability decayed faster than gray phases end.
     load("a1", 3, Millis(0), 0.95);
     load("a2", 3, Millis(0), 0.95);
     load("b1", 3, Millis(0), 0.95);
@@ -130,7 +130,7 @@
     CHECK(choose(false).node == "far");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, nothing but doubtful homes, takes the least doubtful and says it knows")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, all homes likely gray, takes the least likely one with acceptsGray")
 {
     load("a1", 3, Millis(0), 0.99);
     load("a2", 3, Millis(0), 0.6);
@@ -140,31 +140,30 @@
 }
 
 TEST_CASE_FIXTURE(FourHomes,
-                  "home ranking, a home of which good answers came, is preferred to an unknown one for bookings")
+                  "home ranking, home with successes, is preferred to an unknown one for non-idempotent work")
 {
     load("a2", 3, Millis(0), 0.01);
     CHECK(choose(false).node == "a2");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, only home behind a path that failed, is waited at as long as there is time")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, only home behind a failed path, allows a wait up to the deadline")
 {
-    // A link fell silent, and three of six bookings that were sent again over a fresh one found the slots taken. The
-    // failed path counted against waiting there, though there was no other home, and they were refused.
+    // A link fell silent, and three of six requests that were retried over a new link found no free slot. The failed
+    // path counted against waiting there although there was no other home, so they were refused.
     ranking.notePathFailure("a1");
     CHECK(choose(false, {"a2", "b1", "far"}).queueTimeout >= Millis(2000));
 }
 
-TEST_CASE_FIXTURE(FourHomes,
-                  "home ranking, server that joined on a calm day, is found out by work that can be repeated")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, new server at low load, is tried by retryable work")
 {
-    // New servers were added and got nothing for the rest of the day: the known ones were good and had room, and an
-    // unknown one might have been gray.
+    // Servers that joined got no work for the rest of the day, because the known servers were healthy and had room, and
+    // an unknown one might have been gray.
     load("a1", 3, Millis(0), 0.01);
     CHECK(choose(true).node == "a2");
     CHECK(choose(false).node == "a1");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, homes heard of are full, tries one not heard of before it gives up")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, all homes with reports full, tries one without a report")
 {
     load("a1", 0, Millis(4000), 0.02);
     load("a2", 0, Millis(4000), 0.02);
@@ -175,7 +174,7 @@
 }
 
 TEST_CASE_FIXTURE(FourHomes,
-                  "home ranking, homes refused for doubt, are left alone, the own zone's for the shortest time")
+                  "home ranking, homes refused as likely gray, are avoided, in the own zone for the shortest time")
 {
     ranking.noteLikelyGray(homes[0], now);
     ranking.noteLikelyGray(homes[1], now);
@@ -187,7 +186,7 @@
     CHECK(choose(true, {"a1", "a2"}).node.empty());
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, server that surely is gray, gets no work that can't be repeated")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, server almost certainly gray, gets no work that can't be retried")
 {
     for (const RankedHome &home : homes) {
         load(home.node, 3, Millis(0), 0.97);
@@ -196,19 +195,19 @@
     CHECK_FALSE(choose(true).node.empty());
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, server that turns requests away, comes after one of the next zone")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, server that sheds requests, comes after one in the next zone")
 {
-    HomeLoad shedRate;
-    shedRate.freeSlots = 3;
-    shedRate.grayProbability = 0.02;
-    shedRate.shedRate = 0.55;
-    ranking.noteLoad("a1", shedRate, 1, now);
-    ranking.noteLoad("a2", shedRate, 1, now);
+    HomeLoad shedding;
+    shedding.freeSlots = 3;
+    shedding.grayProbability = 0.02;
+    shedding.shedRate = 0.55;
+    ranking.noteLoad("a1", shedding, 1, now);
+    ranking.noteLoad("a2", shedding, 1, now);
     load("b1", 3, Millis(0), 0.02);
     CHECK(choose().node == "b1");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, path that failed, is last and comes back when it is good again")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, failed path, is last until it has recovered")
 {
     ranking.notePathFailure("a1");
     CHECK(choose().node == "a2");
@@ -217,10 +216,10 @@
     CHECK_FALSE(ranking.isPathFailed("a1"));
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, path that failed, stays last until a probe says that it is good")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, failed path, stays last until a probe succeeds")
 {
-    // A VM was lost for good. Every sender lost a booking there, waited a second, and lost the next one: what became of
-    // a booking can't be known once its home is gone. Only a probe may find out whether the VM is back.
+    // A VM was lost permanently. Every sender lost a request there, waited a second, and lost the next one, since the
+    // outcome of a request is unknown once its home is gone. Only a probe may find out whether the VM is back.
     ranking.notePathFailure("a1");
     now += std::chrono::seconds(20);
     CHECK(choose(false, {"a2"}).node == "b1");
@@ -228,7 +227,7 @@
     CHECK(choose(false, {"a2"}).node == "a1");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, home without a server, is avoided for a while and then asked again")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, home without a server, is avoided for a while and then tried again")
 {
     ranking.noteNoServer("a1", now);
     ranking.noteNoServer("a2", now);
@@ -237,17 +236,17 @@
     CHECK(choose().node[0] == 'a');
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, work sent and not yet answered, spreads the next over equal homes")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, requests in flight, spread the next ones over equal homes")
 {
     const std::string first = choose().node;
     ranking.noteSent(first);
     CHECK(choose().node != first);
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, long wait heard long ago, does not hide a shorter one heard just now")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, old report of a long wait, does not hide a recent shorter one")
 {
-    // A burst of urgent work was over, and homes still were thought to have no queue: the old long wait of the urgent
-    // had been picked over the fresh one of this rank, and had faded to nothing.
+    // After a burst of urgent requests, homes were assumed to have no queue: the old long wait of the urgent priority
+    // was preferred to the recent one of this priority, and had decayed to nothing.
     HomeLoad old;
     old.wait = Millis(3000);
     old.grayProbability = 0.02;
@@ -259,7 +258,7 @@
     CHECK(choose().node == "b1");
 }
 
-TEST_CASE_FIXTURE(FourHomes, "home ranking, waits of the less urgent, don't keep the more urgent away")
+TEST_CASE_FIXTURE(FourHomes, "home ranking, waits of less urgent requests, do not count for more urgent ones")
 {
     HomeLoad busy;
     busy.freeSlots = 0;
