--- a/tests/unit/HomeFloorTest.cpp
+++ b/tests/unit/HomeFloorTest.cpp
@@ -10,22 +10,22 @@
 
 const SteadyTime start = SteadyTime(std::chrono::hours(1));
 
-/** The platform's store, for one sheet: conditional updates only. */
+/** The platform's store with one table. Accepts conditional updates only. */
 struct Store {
-    PledgeTable sheet;
+    PledgeTable table;
 
     bool update(const PledgeTable &proposal)
     {
-        if (proposal.version != sheet.version) {
+        if (proposal.version != table.version) {
             return false;
         }
-        sheet = proposal;
-        ++sheet.version;
+        table = proposal;
+        ++table.version;
         return true;
     }
 };
 
-/** One home of the enumeration: its decisions and its servers. */
+/** One home of the enumeration: its floor decisions and its servers. */
 struct Home {
     Home(const NodeRef &ref, const HomeFloor::InServiceOf &inServiceOf)
         : self(ref)
@@ -36,18 +36,18 @@
     std::uint32_t servers = 0;
     std::uint32_t inService = 0;
     bool up = true;
-    /** A write is on its way: its proposal, and whether the store took it. */
+    /** A write in progress: its proposal, whether it has arrived at the store, and whether the store accepted it. */
     std::optional<PledgeTable> sent;
     bool arrived = false;
-    bool taken = false;
+    bool accepted = false;
 };
 
 /**
- * Three homes and a store. Each step is one of: send a proposal, let it arrive at the store, hear its answer, lose its
- * answer, eject, return, be held for gone by others, come back.
+ * Several homes and a store. Each step is one of: send a proposal, deliver it to the store, deliver the reply, lose the
+ * reply, eject a server, return a server, mark the home as down for the others, read the table, mark the home as up.
  */
 struct World {
-    /** Worlds are copied, so the homes' views of each other lead to the one that acts. */
+    /** Worlds are copied, so the homes' callbacks refer to the World that acts. */
     static inline World *current = nullptr;
 
     static constexpr int actionsPerHome = 9;
@@ -93,7 +93,7 @@
         return sum;
     }
 
-    /** False if the action is not possible now. */
+    /** Returns false if the action is not possible now. */
     bool act(int action)
     {
         current = this;
@@ -110,17 +110,17 @@
             if (!home.sent || home.arrived) {
                 return false;
             }
-            home.taken = store.update(*home.sent);
+            home.accepted = store.update(*home.sent);
             home.arrived = true;
             return true;
         case 2:
             if (!home.sent || !home.arrived) {
                 return false;
             }
-            if (home.taken) {
+            if (home.accepted) {
                 home.floor.accepted(home.sent->version + 1);
             } else {
-                home.floor.rejected(store.sheet);
+                home.floor.rejected(store.table);
             }
             home.sent.reset();
             return true;
@@ -128,7 +128,7 @@
             if (!home.sent) {
                 return false;
             }
-            // The answer is lost; the write may or may not have arrived before.
+            // The reply is lost. The write may or may not have taken effect.
             home.floor.rejected(std::nullopt);
             home.sent.reset();
             return true;
@@ -147,17 +147,17 @@
             refresh(home);
             return true;
         case 6:
-            // Cut off or paused: others hold it for gone although its servers still serve.
+            // Cut off or paused: other homes take it for departed although its servers still serve.
             if (!home.up) {
                 return false;
             }
             home.up = false;
             return true;
         case 7:
-            if (home.sent || home.floor.knownTable().version == store.sheet.version) {
+            if (home.sent || home.floor.knownTable().version == store.table.version) {
                 return false;
             }
-            home.floor.updateTable(store.sheet);
+            home.floor.updateTable(store.table);
             return true;
         default:
             if (home.up) {
@@ -171,14 +171,14 @@
     std::string key()
     {
         current = this;
-        std::string out = store.sheet.json();
+        std::string out = store.table.json();
         for (const Home &home : homes) {
             out += "|" + std::to_string(home.inService) + "," + std::to_string(home.up) + ","
                    + std::to_string(home.floor.pledge()) + "," + std::to_string(home.floor.mustKeep()) + ","
                    + std::to_string(home.floor.mayEject()) + "," + home.floor.knownTable().json()
-                   + std::to_string(home.floor.knownTable().version == store.sheet.version)
-                   + (home.sent ? home.sent->json() + std::to_string(home.sent->version == store.sheet.version) : "-")
-                   + std::to_string(home.arrived) + std::to_string(home.taken);
+                   + std::to_string(home.floor.knownTable().version == store.table.version)
+                   + (home.sent ? home.sent->json() + std::to_string(home.sent->version == store.table.version) : "-")
+                   + std::to_string(home.arrived) + std::to_string(home.accepted);
         }
         return out;
     }
@@ -187,22 +187,22 @@
     std::vector<Home> homes;
 };
 
-/** What an exhaustive walk found. */
-struct Walk {
+/** Result of an exhaustive search. */
+struct SearchResult {
     std::size_t states = 0;
     int depth = 0;
-    std::uint32_t least = 0;
+    std::uint32_t minInService = 0;
     bool complete = false;
 };
 
-/** Every state that can be reached from @p from, breadth first, up to @p most states. */
-Walk walkAll(const World &from, std::uint32_t required, std::size_t most)
+/** Visits every state that can be reached from @p from, breadth first, up to @p maxStates states. */
+SearchResult searchStates(const World &from, std::uint32_t required, std::size_t maxStates)
 {
     std::set<std::string> seen;
     std::vector<World> frontier = {from};
-    Walk walk;
-    walk.least = from.total();
-    for (; !frontier.empty() && seen.size() < most; ++walk.depth) {
+    SearchResult result;
+    result.minInService = from.total();
+    for (; !frontier.empty() && seen.size() < maxStates; ++result.depth) {
         std::vector<World> next;
         for (const World &one : frontier) {
             for (int action = 0; action < one.actions(); ++action) {
@@ -210,7 +210,7 @@
                 if (!world.act(action)) {
                     continue;
                 }
-                walk.least = std::min(walk.least, world.total());
+                result.minInService = std::min(result.minInService, world.total());
                 REQUIRE(world.total() >= required);
                 if (seen.insert(world.key()).second) {
                     next.push_back(std::move(world));
@@ -219,13 +219,13 @@
         }
         frontier = std::move(next);
     }
-    walk.states = seen.size();
-    walk.complete = frontier.empty();
-    return walk;
+    result.states = seen.size();
+    result.complete = frontier.empty();
+    return result;
 }
 
 /** Lets every home register and reach its share, without faults. */
-void settle(World &world)
+void registerAll(World &world)
 {
     constexpr int rounds = 12;
     for (int round = 0; round < rounds; ++round) {
@@ -239,36 +239,36 @@
 
 } // namespace
 
-TEST_CASE("floor, every interleaving of three homes and four servers, is never passed")
+TEST_CASE("floor, every interleaving of three homes and four servers, is never violated")
 {
-    // Story: three homes each see sick servers and none hears the others. Writes arrive late, their answers are lost, a
-    // home is paused and taken for gone, its pledge is moved to another, and it wakes and goes on ejecting. Whatever
-    // the order, at least two of the four servers must stay in service.
+    // Three homes see unhealthy servers and get no messages from each other. Writes arrive late, their replies are
+    // lost, a home is paused and taken for departed, another one absorbs its pledge, and then it resumes and continues
+    // to eject. In any order, at least two of the four servers must stay in service.
     constexpr std::uint32_t required = 2;
     World fresh(required, {2, 1, 1});
-    World settled = fresh;
-    settle(settled);
-    const Walk fromSettled = walkAll(settled, required, 30000);
-    const Walk fromFresh = walkAll(fresh, required, 10000);
-    for (const Walk &walk : {fromSettled, fromFresh}) {
-        MESSAGE("states " << walk.states << ", steps deep " << walk.depth << ", complete " << walk.complete
-                          << ", least in service " << walk.least);
+    World registered = fresh;
+    registerAll(registered);
+    const SearchResult fromRegistered = searchStates(registered, required, 30000);
+    const SearchResult fromFresh = searchStates(fresh, required, 10000);
+    for (const SearchResult &result : {fromRegistered, fromFresh}) {
+        MESSAGE("states " << result.states << ", steps deep " << result.depth << ", complete " << result.complete
+                          << ", least in service " << result.minInService);
     }
-    CHECK(fromSettled.least == required);
+    CHECK(fromRegistered.minInService == required);
 }
 
-TEST_CASE("floor, every interleaving of two homes and three servers, is never passed")
+TEST_CASE("floor, every interleaving of two homes and three servers, is never violated")
 {
     constexpr std::uint32_t required = 2;
-    World settled(required, {2, 1});
-    settle(settled);
-    const Walk walk = walkAll(settled, required, 200000);
-    MESSAGE("states " << walk.states << ", steps deep " << walk.depth << ", complete " << walk.complete
-                      << ", least in service " << walk.least);
-    CHECK(walk.least == required);
+    World registered(required, {2, 1});
+    registerAll(registered);
+    const SearchResult result = searchStates(registered, required, 200000);
+    MESSAGE("states " << result.states << ", steps deep " << result.depth << ", complete " << result.complete
+                      << ", least in service " << result.minInService);
+    CHECK(result.minInService == required);
 }
 
-TEST_CASE("floor, random long runs of larger homes, is never passed and most ejections are allowed")
+TEST_CASE("floor, random long runs of larger homes, is never violated and most ejections are allowed")
 {
     constexpr int runs = 300;
     std::uint64_t ejected = 0;
@@ -309,7 +309,7 @@
     CHECK_FALSE(floor.mayEject());
 }
 
-TEST_CASE("floor, servers that died, count before any ejection")
+TEST_CASE("floor, crashed servers, count before any ejection")
 {
     HomeFloor floor(NodeRef{"a", 1}, [](const NodeRef &) { return std::nullopt; });
     floor.setFloor(CapacityFloor{3, 0.0});
@@ -318,7 +318,7 @@
     for (int i = 0; i < 4; ++i) {
         const auto proposal = floor.proposal();
         if (proposal && store.update(*proposal)) {
-            floor.accepted(store.sheet.version);
+            floor.accepted(store.table.version);
         }
     }
     CHECK(floor.mayEject());
@@ -326,11 +326,11 @@
     CHECK_FALSE(floor.mayEject());
 }
 
-TEST_CASE("pledge sheet, written and read, is the same and garbage is refused")
+TEST_CASE("pledge table, written and parsed, is the same and malformed text is rejected")
 {
-    PledgeTable sheet;
-    sheet.set(Pledge{{"a", 7}, 2, 3});
-    const auto parsed = PledgeTable::parse(4, sheet.json());
+    PledgeTable table;
+    table.set(Pledge{{"a", 7}, 2, 3});
+    const auto parsed = PledgeTable::parse(4, table.json());
     REQUIRE(parsed);
     CHECK(parsed->find({"a", 7})->pledge == 2);
     CHECK_FALSE(PledgeTable::parse(1, "{}"));
