--- a/tests/unit/LocalServerTest.cpp
+++ b/tests/unit/LocalServerTest.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/** The server beside this node, and what it says. */
-struct BesideServer {
-    Announcement says(const std::string &id, std::uint64_t incarnation, std::uint64_t sequence,
-                      ServerState server = ServerState::Serving)
+/** The server beside this node and its announcements. */
+struct LocalServerFixture {
+    Announcement announcement(const std::string &id, std::uint64_t incarnation, std::uint64_t sequence,
+                              ServerState server = ServerState::Serving)
     {
         Announcement out;
         out.service = "desk";
@@ -29,72 +29,74 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(BesideServer, "local server, first announcement, serves")
+TEST_CASE_FIXTURE(LocalServerFixture, "local server, first announcement, serves")
 {
     CHECK(state.serving() == nullptr);
-    CHECK(state.update(says("i1", 100, 1), expected) == ServerChange::Started);
+    CHECK(state.update(announcement("i1", 100, 1), expected) == ServerChange::Started);
     REQUIRE(state.serving() != nullptr);
     CHECK(state.serving()->server == "i1");
 }
 
-TEST_CASE_FIXTURE(BesideServer, "local server, announcement of another service or address, is not acknowledged")
+TEST_CASE_FIXTURE(LocalServerFixture, "local server, announcement of another service or address, is not acknowledged")
 {
-    Announcement other = says("i1", 100, 1);
+    Announcement other = announcement("i1", 100, 1);
     other.service = "records";
     CHECK(state.update(other, expected) == ServerChange::Ignored);
-    other = says("i1", 100, 1);
+    other = announcement("i1", 100, 1);
     other.port = 8081;
     CHECK(state.update(other, expected) == ServerChange::Ignored);
     CHECK(state.serving() == nullptr);
 }
 
-TEST_CASE_FIXTURE(BesideServer, "local server, late announcement from before it left, does not bring it back")
+TEST_CASE_FIXTURE(LocalServerFixture, "local server, late announcement from before it drained, does not bring it back")
 {
-    // A server says that it drains, and is acknowledged. A heartbeat from before, held up on the way, arrives a second
-    // later. Taken as news it would bring work to the server that is about to exit.
-    state.update(says("i1", 100, 4), expected);
-    CHECK(state.update(says("i1", 100, 6, ServerState::Draining), expected) == ServerChange::Stopped);
-    CHECK(state.update(says("i1", 100, 5), expected) == ServerChange::Ignored);
+    // A server announces that it drains, and the announcement is acknowledged. An older heartbeat arrives a second
+    // later. If it were applied, a server that is about to exit would get work.
+    state.update(announcement("i1", 100, 4), expected);
+    CHECK(state.update(announcement("i1", 100, 6, ServerState::Draining), expected) == ServerChange::Stopped);
+    CHECK(state.update(announcement("i1", 100, 5), expected) == ServerChange::Ignored);
     CHECK(state.serving() == nullptr);
 }
 
-TEST_CASE_FIXTURE(BesideServer, "local server, farewell, keeps even newer announcements of that process out")
+TEST_CASE_FIXTURE(LocalServerFixture, "local server, deregistered, ignores even newer announcements of that process")
 {
-    state.update(says("i1", 100, 4), expected);
+    state.update(announcement("i1", 100, 4), expected);
     CHECK(state.deregister("i1", 100) == ServerChange::Stopped);
-    CHECK(state.update(says("i1", 100, 9), expected) == ServerChange::Ignored);
+    CHECK(state.update(announcement("i1", 100, 9), expected) == ServerChange::Ignored);
     CHECK(state.serving() == nullptr);
 }
 
-TEST_CASE_FIXTURE(BesideServer, "local server, restart under the old id, is a new process and counts anew")
+TEST_CASE_FIXTURE(LocalServerFixture, "local server, restart under the same id, is a new process with a new sequence")
 {
-    state.update(says("i1", 100, 50), expected);
+    state.update(announcement("i1", 100, 50), expected);
     state.deregister("i1", 100);
-    CHECK(state.update(says("i1", 200, 1), expected) == ServerChange::Started);
+    CHECK(state.update(announcement("i1", 200, 1), expected) == ServerChange::Started);
     CHECK(state.serving()->incarnation == 200);
 }
 
-TEST_CASE_FIXTURE(BesideServer, "local server, heartbeat of a process that crashed, does not replace its successor")
+TEST_CASE_FIXTURE(LocalServerFixture, "local server, heartbeat of a crashed process, does not replace its successor")
 {
-    // The heartbeat was held up by a cut; its sender has crashed meanwhile and another server started at the address.
-    state.update(says("i2", 200, 1), expected);
-    CHECK(state.update(says("i1", 100, 99), expected) == ServerChange::Ignored);
+    // A network cut delays the heartbeat. Meanwhile its sender has crashed, and another server has started at the
+    // address.
+    state.update(announcement("i2", 200, 1), expected);
+    CHECK(state.update(announcement("i1", 100, 99), expected) == ServerChange::Ignored);
     CHECK(state.serving()->server == "i2");
     CHECK(state.deregister("i1", 100) == ServerChange::None);
     CHECK(state.serving()->server == "i2");
 }
 
-TEST_CASE_FIXTURE(BesideServer, "local server, drained and ready again, serves again")
+TEST_CASE_FIXTURE(LocalServerFixture, "local server, serving again after a drain, accepts work")
 {
-    state.update(says("i1", 100, 1), expected);
-    state.update(says("i1", 100, 2, ServerState::Draining), expected);
-    CHECK(state.update(says("i1", 100, 3), expected) == ServerChange::Started);
+    state.update(announcement("i1", 100, 1), expected);
+    state.update(announcement("i1", 100, 2, ServerState::Draining), expected);
+    CHECK(state.update(announcement("i1", 100, 3), expected) == ServerChange::Started);
 }
 
-TEST_CASE_FIXTURE(BesideServer, "local server, another one answers at its address, is unknown until it says who it is")
+TEST_CASE_FIXTURE(LocalServerFixture,
+                  "local server, another process at its address, is unknown until it announces itself")
 {
-    state.update(says("i1", 100, 1), expected);
+    state.update(announcement("i1", 100, 1), expected);
     state.noteReplaced();
     CHECK(state.serving() == nullptr);
-    CHECK(state.update(says("i2", 200, 1), expected) == ServerChange::Started);
+    CHECK(state.update(announcement("i2", 200, 1), expected) == ServerChange::Started);
 }
