--- a/tests/unit/DecisionsTest.cpp
+++ b/tests/unit/DecisionsTest.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("fair queue, one customer with many requests, does not hold up another's first")
+TEST_CASE("fair queue, one customer with many requests, does not delay another's first")
 {
     FairQueue queue(100);
     for (std::uint64_t id = 1; id <= 50; ++id) {
@@ -50,7 +50,7 @@
     CHECK(std::count(order.begin(), order.end(), 52) == 1);
 }
 
-TEST_CASE("fair queue, full or expired or cancelled, refuses and takes out exactly those")
+TEST_CASE("fair queue, full or expired or cancelled, refuses and removes exactly those")
 {
     FairQueue queue(2);
     CHECK(queue.push(queued(1, "read", "a")));
@@ -87,7 +87,7 @@
     CHECK(bucket.hasAny(start + Millis(600)));
 }
 
-TEST_CASE("poison registry, same death told twice, counts once and the second death refuses")
+TEST_CASE("poison registry, same crash reported twice, counts once and the second crash refuses")
 {
     ManualClock clock;
     PoisonRegistry registry(clock, std::chrono::minutes(5));
@@ -103,8 +103,8 @@
 
 TEST_CASE("record table, versions in any order, ends with the highest everywhere")
 {
-    // Story: news of a configuration comes over several paths, late and out of order. No node may go back to an older
-    // version, and two nodes that compare summaries must end alike.
+    // Updates of a configuration arrive over several paths, late and out of order. No node may return to an older
+    // version, and two nodes that compare digests must end with the same records.
     std::mt19937_64 random(3);
     RecordTable a;
     RecordTable b;
@@ -159,7 +159,7 @@
     CHECK(gossipPartners("alone", {"alone"}).empty());
 }
 
-TEST_CASE("home chooser, near home busy or failing or cut, goes farther and comes back as a last resort")
+TEST_CASE("home chooser, near home busy or path failed, goes farther and returns as a last resort")
 {
     HomeChooser chooser([] { return 0; });
     const NodeRef near{"near", 1};
@@ -175,7 +175,7 @@
     CHECK(chooser.choose("s", both, {near, far}, start) == nullptr);
 }
 
-TEST_CASE("burn figures, one bad in a hundred against 99.5%, burn at twice the allowed rate")
+TEST_CASE("burn rates, one bad in a hundred against 99.5%, burn at twice the allowed rate")
 {
     ManualClock clock;
     BurnRecorder recorder(clock);
@@ -199,8 +199,8 @@
 
 TEST_CASE("service home, slow class beside a fast one, does not take all slots")
 {
-    // Story: one class in ten requests takes 75 times as long as the rest. It fails nothing, but it holds every slot,
-    // and calendar readers wait behind it until they give up.
+    // One request in ten takes 75 times as long as the rest. These requests fail nothing, but they hold every slot, and
+    // fast requests wait behind them until they time out.
     RigOptions options;
     options.servers = 4;
     options.work = Millis(20);
@@ -216,10 +216,10 @@
     CHECK(rig.readMs[rig.readMs.size() * 9 / 10] < 300.0);
 }
 
-TEST_CASE("service home, more work than it can do, refuses early and keeps its goodput")
+TEST_CASE("service home, load above capacity, refuses early and keeps its goodput")
 {
-    // Story: at twice the capacity a queue without limit makes every answer late, and nobody gets anything. Work that
-    // would miss its deadline must be refused at once, with a time to come back, and the rest must be answered.
+    // At twice the capacity, an unbounded queue makes every response late. Requests that would miss their deadline must
+    // be refused at once, with a time to retry, and the others must be answered.
     RigOptions options;
     options.servers = 4;
     options.rate = 400;
