--- a/tests/unit/RouteOriginsTest.cpp
+++ b/tests/unit/RouteOriginsTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Zones of four VMs: two beside the ledger, one beside the card view, one beside the pack house. */
+/** Zones of four VMs: two with a ledger server, one with a cardview server, one with a packhouse server. */
 struct MixedZones {
     static double share(const std::string &zone, const std::set<std::string> &services)
     {
@@ -22,10 +22,11 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(MixedZones, "route origins, requests from one service's VMs only, are known as its calls")
+TEST_CASE_FIXTURE(MixedZones, "route origins, requests from one service's VMs only, are its nested calls")
 {
-    // A ledger server that is never idle keeps its own node from telling its calls from callers' requests: calls queued
-    // behind downloads at the pack house, and each one refused there failed a lodging that had run.
+    // A node whose server is never idle can't distinguish its nested calls from requests of callers. Without the
+    // reports of other homes, calls queued behind slow requests at the called service, and each refused call failed a
+    // request that had run.
     for (int i = 0; i < 10; ++i) {
         origins.note("pack-index", "z1", "ledger");
     }
@@ -36,7 +37,7 @@
     CHECK(origins.isNestedCall("pack-index"));
 }
 
-TEST_CASE_FIXTURE(MixedZones, "route origins, requests from VMs of all services, are callers'")
+TEST_CASE_FIXTURE(MixedZones, "route origins, requests from VMs of all services, are from callers")
 {
     for (int i = 0; i < 300; ++i) {
         origins.note("rate-lookup", "z1", i % 4 < 2 ? "ledger" : (i % 4 == 2 ? "cardview" : "packhouse"));
@@ -44,7 +45,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(MixedZones, "route origins, zones with VMs of one service only, say nothing")
+TEST_CASE_FIXTURE(MixedZones, "route origins, zones with VMs of one service only, give no evidence")
 {
     for (int i = 0; i < 1000; ++i) {
         origins.note("rate-lodge", "ledger-only", "ledger");
@@ -52,7 +53,7 @@
     CHECK_FALSE(origins.isNestedCall("rate-lodge"));
 }
 
-TEST_CASE_FIXTURE(MixedZones, "route origins, a route that two services call, takes more requests to be known")
+TEST_CASE_FIXTURE(MixedZones, "route origins, route called by two services, needs more requests")
 {
     for (int i = 0; i < 40; ++i) {
         origins.note("trade-check", "z1", i % 2 == 0 ? "ledger" : "cardview");
@@ -60,17 +61,17 @@
     CHECK(origins.isNestedCall("trade-check"));
 }
 
-TEST_CASE("inner call meter, a home's word, counts unless requests came while the server was idle")
+TEST_CASE("nested call tracker, route reported as nested, counts unless requests came while the server was idle")
 {
-    NestedCallTracker meter;
+    NestedCallTracker tracker;
     const SteadyTime start(std::chrono::hours(1));
-    meter.begin(1, "lodge", 1, start);
-    meter.arrived("pack-index", "packhouse", start);
-    CHECK_FALSE(meter.isNestedCall("pack-index"));
-    meter.markNested("pack-index");
-    CHECK(meter.isNestedCall("pack-index"));
-    meter.end(1, start);
-    meter.arrived("look-up", "cardview", start);
-    meter.markNested("look-up");
-    CHECK_FALSE(meter.isNestedCall("look-up"));
+    tracker.begin(1, "lodge", 1, start);
+    tracker.arrived("pack-index", "packhouse", start);
+    CHECK_FALSE(tracker.isNestedCall("pack-index"));
+    tracker.markNested("pack-index");
+    CHECK(tracker.isNestedCall("pack-index"));
+    tracker.end(1, start);
+    tracker.arrived("look-up", "cardview", start);
+    tracker.markNested("look-up");
+    CHECK_FALSE(tracker.isNestedCall("look-up"));
 }
