--- a/tests/support/HomeFleetModel.cpp
+++ b/tests/support/HomeFleetModel.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Millis warmUp = std::chrono::seconds(6);
-constexpr Millis oneWay{2};
-constexpr Millis pollEvery{10};
+constexpr Millis linkDelay{2};
+constexpr Millis pollInterval{10};
 constexpr Millis objective{1000};
 constexpr Millis deadline{4000};
 constexpr int priority = 2;
@@ -67,12 +67,12 @@
     return outcome_;
 }
 
-void HomeFleetModel::at(SteadyTime when, std::function<void()> action)
+void HomeFleetModel::schedule(SteadyTime when, std::function<void()> action)
 {
     events_.push(Event{when, nextOrder_++, std::move(action)});
 }
 
-double HomeFleetModel::chance()
+double HomeFleetModel::uniform()
 {
     return boost::random::uniform_01<double>()(random_);
 }
@@ -88,7 +88,7 @@
     const double seconds = boost::random::exponential_distribution<double>(rate)(random_);
     const SteadyTime next = now_ + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
     if (next < end_) {
-        at(next, [this] { arrive(); });
+        schedule(next, [this] { arrive(); });
     }
 }
 
@@ -96,18 +96,18 @@
 {
     const auto request = std::make_shared<Request>();
     request->id = nextId_++;
-    request->sender = static_cast<int>(chance() * load_.nodes);
+    request->sender = static_cast<int>(uniform() * load_.nodes);
     request->objective = now_ + objective;
     request->deadline = now_ + deadline;
     request->work = Millis(static_cast<std::int64_t>(boost::random::uniform_real_distribution<double>(0.5, 1.5)(random_)
                                                      * static_cast<double>(load_.meanWork.count())));
     request->counted = isBurst();
     outcome_.requests += request->counted ? 1 : 0;
-    place(request);
+    dispatch(request);
     scheduleArrival();
 }
 
-void HomeFleetModel::place(const RequestPtr &request)
+void HomeFleetModel::dispatch(const RequestPtr &request)
 {
     const int home = request->search.canContinue() && now_ < request->deadline ? chooseHome(*request) : -1;
     if (home < 0) {
@@ -117,7 +117,7 @@
     request->home = ranked_[static_cast<std::size_t>(home)].node;
     request->search.noteSent(request->home);
     rankings_[static_cast<std::size_t>(request->sender)].noteSent(request->home);
-    at(now_ + oneWay, [this, home, request] { submit(home, request); });
+    schedule(now_ + linkDelay, [this, home, request] { submit(home, request); });
 }
 
 int HomeFleetModel::chooseHome(Request &request)
@@ -127,7 +127,7 @@
     case HomePolicy::Product:
         return chooseByRanking(request);
     case HomePolicy::Random:
-        return static_cast<int>(chance() * load_.homes);
+        return static_cast<int>(uniform() * load_.homes);
     case HomePolicy::Oracle:
         break;
     }
@@ -136,14 +136,14 @@
 
 int HomeFleetModel::chooseByRanking(Request &request)
 {
-    HomeQuery need;
-    need.priority = priority;
-    need.untilObjective = std::chrono::duration_cast<Millis>(request.objective - now_);
-    need.untilDeadline = std::chrono::duration_cast<Millis>(request.deadline - now_);
-    need.workTime = load_.meanWork;
-    need.mustQueue = request.search.mustQueue();
+    HomeQuery query;
+    query.priority = priority;
+    query.untilObjective = std::chrono::duration_cast<Millis>(request.objective - now_);
+    query.untilDeadline = std::chrono::duration_cast<Millis>(request.deadline - now_);
+    query.workTime = load_.meanWork;
+    query.mustQueue = request.search.mustQueue();
     const HomeChoice choice =
-        rankings_[static_cast<std::size_t>(request.sender)].choose(ranked_, request.search.excluded(), need, now_);
+        rankings_[static_cast<std::size_t>(request.sender)].choose(ranked_, request.search.excluded(), query, now_);
     if (choice.node.empty()) {
         return -1;
     }
@@ -159,8 +159,8 @@
     const auto best = std::min_element(homes_.begin(), homes_.end(),
                                        [&](const Home &a, const Home &b) { return freeAt(a) < freeAt(b); });
     auto slot = std::min_element(best->freeAt.begin(), best->freeAt.end());
-    const SteadyTime ends = std::max(now_ + oneWay, *slot) + request.work;
-    if (ends + oneWay > request.deadline) {
+    const SteadyTime ends = std::max(now_ + linkDelay, *slot) + request.work;
+    if (ends + linkDelay > request.deadline) {
         return -1;
     }
     *slot = ends;
@@ -169,7 +169,7 @@
 
 void HomeFleetModel::submit(int home, const RequestPtr &request)
 {
-    Home &there = homes_[static_cast<std::size_t>(home)];
+    Home &target = homes_[static_cast<std::size_t>(home)];
     SlotRequest slotRequest;
     slotRequest.id = request->id;
     slotRequest.route = route;
@@ -177,8 +177,8 @@
     slotRequest.objective = request->objective;
     slotRequest.deadline = request->deadline;
     slotRequest.queueTimeout = std::chrono::duration_cast<Millis>(request->queueTimeout);
-    const SlotDecision decision = there.queue.submit(slotRequest, now_);
-    there.active[request->id] = request;
+    const SlotDecision decision = target.queue.submit(slotRequest, now_);
+    target.active[request->id] = request;
     if (decision.action == SlotAction::Start) {
         begin(home, request);
     } else if (decision.action == SlotAction::Refuse) {
@@ -190,12 +190,12 @@
 
 void HomeFleetModel::schedulePoll(int home)
 {
-    Home &there = homes_[static_cast<std::size_t>(home)];
-    if (there.pollScheduled || there.queue.waiting() == 0) {
+    Home &target = homes_[static_cast<std::size_t>(home)];
+    if (target.pollScheduled || target.queue.waiting() == 0) {
         return;
     }
-    there.pollScheduled = true;
-    at(now_ + pollEvery, [this, home] {
+    target.pollScheduled = true;
+    schedule(now_ + pollInterval, [this, home] {
         homes_[static_cast<std::size_t>(home)].pollScheduled = false;
         poll(home);
     });
@@ -203,13 +203,13 @@
 
 void HomeFleetModel::begin(int home, const RequestPtr &request)
 {
-    at(now_ + request->work, [this, home, request] {
-        Home &there = homes_[static_cast<std::size_t>(home)];
-        there.queue.addResult(route, false, request->work, now_);
-        there.queue.release(request->id, now_);
-        there.active.erase(request->id);
-        const HomeLoad load = there.queue.load(priority, now_);
-        at(now_ + oneWay, [this, request, load] {
+    schedule(now_ + request->work, [this, home, request] {
+        Home &target = homes_[static_cast<std::size_t>(home)];
+        target.queue.addResult(route, false, request->work, now_);
+        target.queue.release(request->id, now_);
+        target.active.erase(request->id);
+        const HomeLoad load = target.queue.load(priority, now_);
+        schedule(now_ + linkDelay, [this, request, load] {
             HomeRanking &ranking = rankings_[static_cast<std::size_t>(request->sender)];
             ranking.noteDone(request->home);
             ranking.noteLoad(request->home, load, priority, now_);
@@ -221,28 +221,28 @@
 
 void HomeFleetModel::poll(int home)
 {
-    Home &there = homes_[static_cast<std::size_t>(home)];
-    const SlotQueue::PollResult due = there.queue.poll(now_);
-    for (const std::uint64_t id : due.start) {
-        begin(home, there.active.at(id));
+    Home &target = homes_[static_cast<std::size_t>(home)];
+    const SlotQueue::PollResult result = target.queue.poll(now_);
+    for (const std::uint64_t id : result.start) {
+        begin(home, target.active.at(id));
     }
-    for (const std::uint64_t id : due.expired) {
-        refuse(home, RequestPtr(there.active.at(id)));
+    for (const std::uint64_t id : result.expired) {
+        refuse(home, RequestPtr(target.active.at(id)));
     }
     schedulePoll(home);
 }
 
 void HomeFleetModel::refuse(int home, const RequestPtr &request)
 {
-    Home &there = homes_[static_cast<std::size_t>(home)];
-    there.active.erase(request->id);
-    const HomeLoad load = there.queue.load(priority, now_);
-    at(now_ + oneWay, [this, request, load] {
+    Home &target = homes_[static_cast<std::size_t>(home)];
+    target.active.erase(request->id);
+    const HomeLoad load = target.queue.load(priority, now_);
+    schedule(now_ + linkDelay, [this, request, load] {
         HomeRanking &ranking = rankings_[static_cast<std::size_t>(request->sender)];
         ranking.noteDone(request->home);
         ranking.noteLoad(request->home, load, priority, now_);
         request->search.noteRefused(request->home);
-        place(request);
+        dispatch(request);
     });
 }
 
--- a/tests/support/HomeFleetModel.h
+++ b/tests/support/HomeFleetModel.h
@@ -17,22 +17,22 @@
 
 /** How a request finds its home. */
 enum class HomePolicy {
-    /** The product's decisions. */
+    /** The decisions of the production code. */
     Product,
-    /** Any home, where it waits for as long as its caller does. */
+    /** A random home, where the request waits until its deadline. */
     Random,
-    /** The home that will be free first, by every work time and queue: nobody can know that. */
+    /** The home with the earliest free slot, by all work times and queues. No real node knows these. */
     Oracle,
 };
 
-/** A service and its callers. */
+/** A service and the requests for it. */
 struct HomeFleetLoad {
     int nodes = 0;
     int homes = 0;
     std::uint32_t slots = 3;
     Millis meanWork{250};
     double requestsPerSecond = 0.0;
-    /** This many times as many requests for a while, after a time to learn. */
+    /** Factor on the request rate during the burst, which follows a warm-up time. */
     double burst = 1.0;
     Millis burstDuration{0};
 };
@@ -48,14 +48,14 @@
 };
 
 /**
- * The homes of one service and the nodes that send them work, in simulated time: the ranking, the search and the queues
- * decide as in the product; links take a fixed time and lose nothing. Seeded, opens no socket.
+ * Simulates the homes of one service and the nodes that send them work. Ranking, search and queues are the production
+ * code. Links have a fixed delay and lose nothing. Seeded; opens no socket.
  */
 class HomeFleetModel
 {
 public:
     HomeFleetModel(const HomeFleetLoad &load, HomePolicy policy, std::uint32_t seed);
-    /** Plays the load to its end; counts the requests that came while the burst lasted. */
+    /** Runs the load to its end. Counts the requests that arrive during the burst. */
     HomeFleetOutcome run();
 
 private:
@@ -74,7 +74,7 @@
     struct Home {
         SlotQueue queue;
         std::map<std::uint64_t, RequestPtr> active;
-        /** For the omniscient policy: when each slot is free by what was given to it. */
+        /** For HomePolicy::Oracle: when each slot becomes free, by the work assigned to it. */
         std::vector<SteadyTime> freeAt;
         bool pollScheduled = false;
     };
@@ -86,10 +86,10 @@
         bool operator<(const Event &other) const;
     };
 
-    void at(SteadyTime when, std::function<void()> action);
+    void schedule(SteadyTime when, std::function<void()> action);
     void scheduleArrival();
     void arrive();
-    void place(const RequestPtr &request);
+    void dispatch(const RequestPtr &request);
     int chooseHome(Request &request);
     int chooseByRanking(Request &request);
     int chooseFirstFree(const Request &request);
@@ -100,7 +100,7 @@
     void refuse(int home, const RequestPtr &request);
     void finish(const RequestPtr &request, bool served);
     bool isBurst() const;
-    double chance();
+    double uniform();
 
     HomeFleetLoad load_;
     HomePolicy policy_;
--- a/tests/unit/HomeFleetTest.cpp
+++ b/tests/unit/HomeFleetTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Three slots a home, and half of all slots busy before the burst. */
+/** Three slots per home. Half of all slots are in use before the burst. */
 HomeFleetLoad burstOn(int homes, double burst)
 {
     HomeFleetLoad load;
@@ -26,21 +26,21 @@
 
 } // namespace
 
-// Guards against callers that are refused while every home would serve them in time: in a large fleet a request went
-// from one busy home to the next until it had used up its sends.
-TEST_CASE("home fleet, burst of a fifth more than all slots, refuses hardly anybody in a fleet of any size")
+// Guards against refusals while every home would serve the request in time: in a large fleet a request went from one
+// busy home to the next until it had used up its sends.
+TEST_CASE("home fleet, burst of a fifth above all slots, refuses few requests in a fleet of any size")
 {
-    constexpr double moreThanFull = 2.4;
-    constexpr double hardlyAnybody = 0.03;
+    constexpr double burstFactor = 2.4;
+    constexpr double maxRefusedShare = 0.03;
     for (const int homes : {12, 130}) {
         for (const std::uint32_t seed : {1U, 2U, 3U}) {
-            const HomeFleetLoad load = burstOn(homes, moreThanFull);
+            const HomeFleetLoad load = burstOn(homes, burstFactor);
             const HomeFleetOutcome ours = run(load, HomePolicy::Product, seed);
             const HomeFleetOutcome any = run(load, HomePolicy::Random, seed);
             const HomeFleetOutcome best = run(load, HomePolicy::Oracle, seed);
             MESSAGE(homes << " homes, refused " << ours.refusedShare() << ", in time " << ours.inTimeShare()
                           << "; any home " << any.inTimeShare() << "; at best " << best.inTimeShare());
-            CHECK(ours.refusedShare() < hardlyAnybody);
+            CHECK(ours.refusedShare() < maxRefusedShare);
         }
     }
 }
