--- a/tests/support/HomeRig.cpp
+++ b/tests/support/HomeRig.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Millis tickEvery{20};
-constexpr Millis announceEvery{500};
+constexpr Millis tickInterval{20};
+constexpr Millis announceInterval{500};
 const std::string className = "reading";
 const std::string writeClass = "writing";
 
@@ -235,20 +235,20 @@
 
 void HomeRig::poll()
 {
-    const ServiceHome::PollResult due = home_.poll(clock_.now());
-    for (const std::uint64_t id : due.expired) {
+    const ServiceHome::PollResult result = home_.poll(clock_.now());
+    for (const std::uint64_t id : result.expired) {
         ++refused;
         requests_.erase(id);
     }
-    for (const ServiceHome::Assignment &assignment : due.assigned) {
+    for (const ServiceHome::Assignment &assignment : result.assigned) {
         begin(assignment.id, assignment.server);
     }
 }
 
 void HomeRig::tick()
 {
-    schedule(clock_.now() + tickEvery, [this] { tick(); });
-    const bool announceNow = ((clock_.now() - start_) % announceEvery) < tickEvery;
+    schedule(clock_.now() + tickInterval, [this] { tick(); });
+    const bool announceNow = ((clock_.now() - start_) % announceInterval) < tickInterval;
     for (const auto &[name, server] : servers_) {
         if (announceNow && server.announces) {
             home_.announce(announcementOf(name), clock_.now());
--- a/tests/support/HomeRig.h
+++ b/tests/support/HomeRig.h
@@ -12,37 +12,37 @@
 
 namespace waxwing::testing {
 
-/** How one fake server does its work. */
+/** Behavior of one fake server. */
 struct FakeServer {
     double stallShare = 0.0;
     double errorShare = 0.0;
     double slowFactor = 1.0;
-    /** Well and out in turn, each for this long; zero: it does not flap. */
+    /** The server alternates between healthy and stalled, each for this long. Zero: it does not flap. */
     Millis flapPeriod{0};
     bool sheds = false;
     bool announces = true;
     ServerState state = ServerState::Serving;
     /** Differs after each restart. */
     std::uint64_t incarnation = 1;
-    /** Newly started: work takes four times as long until then. */
+    /** After a start, work takes four times as long until then. */
     SteadyTime coldUntil;
 };
 
 struct RigOptions {
     int servers = 12;
     std::uint32_t slots = 3;
-    /** Requests a second. */
+    /** Requests per second. */
     double rate = 300.0;
     Millis responseTime{300};
     Millis deadline{2000};
-    /** Median and spread of the log-normal time that healthy work takes. */
+    /** Median and sigma of the log-normal work time of a healthy server. */
     Millis work{50};
     double sigma = 0.6;
     double healthyErrors = 0.001;
     EjectionPolicy policy = EjectionPolicy::Balanced;
     CapacityFloor floor{8, 0.0};
     double idempotentShare = 1.0;
-    /** Median time of the other class's work, where it differs; zero: as the first. */
+    /** Median work time of the other class; zero: the same as the first. */
     Millis otherWork{0};
     double slowClassShare = 0.5;
     std::size_t queuePerClass = 64;
@@ -51,17 +51,17 @@
     DetectorFactory detectors;
 };
 
-/** An ejection as the rig saw it. */
+/** An ejection by the home. */
 struct Ejection {
     SteadyTime at;
     std::string server;
-    /** The server was in fact well. */
+    /** The server was healthy. */
     bool falsePositive = false;
 };
 
 /**
- * Drives one ServiceHome, the code that nodes run, with made-up requests and servers on a clock of its own. It is the
- * small fake at the home's interface for scenarios and the detector bench; it knows nothing of other nodes.
+ * Drives one ServiceHome, as nodes run it, with simulated requests and servers on its own clock. It is a small fake at
+ * the interface of the home, for scenarios and the detector benchmark. It has no other nodes.
  */
 class HomeRig
 {
@@ -73,12 +73,15 @@
     void at(Duration after, std::function<void()> action);
     FakeServer &server(const std::string &name);
     std::vector<std::string> serverNames() const;
-    /** True while the home sends it no ordinary work. */
+    /** Returns true while the home sends the server no ordinary work. */
     bool isOut(const std::string &name) const;
     std::uint32_t inService() const;
     std::uint32_t minInService() const;
     const std::vector<Ejection> &ejections() const;
-    /** First request that a server made late after @p since; the rig's start if none. */
+    /**
+     * Returns when the server had its first late request since the start or the last resetFirstLate(); the rig's start
+     * if there was none.
+     */
     SteadyTime firstLate(const std::string &name) const;
     void resetFirstLate();
     SteadyTime start() const;
@@ -89,7 +92,7 @@
     std::uint64_t failed = 0;
     std::uint64_t refused = 0;
     std::uint64_t started = 0;
-    /** Milliseconds that answered requests of the idempotent class took. */
+    /** Response times of the idempotent class, in milliseconds. */
     std::vector<double> readMs;
     std::map<std::string, std::uint64_t> startedAt;
 
@@ -132,7 +135,7 @@
     std::uint32_t minInService_ = 0;
 };
 
-/** Lets the rig's pledges be granted: as by a store that always answers. */
+/** Accepts the floor's proposals, like a store that always answers. */
 void grantPledges(HomeFloor &floor);
 
 } // namespace waxwing::testing
