--- a/tests/support/Scenario.cpp
+++ b/tests/support/Scenario.cpp
@@ -50,18 +50,18 @@
     return lines;
 }
 
-/** Reads the words of one line in order; a missing or wrong one is an error at its place. */
-class Reader
+/** Reads the tokens of one line in order. A missing or wrong token is an error at its position. */
+class LineReader
 {
 public:
-    explicit Reader(const Line &line)
+    explicit LineReader(const Line &line)
         : line_(line)
     { }
     bool done() const
     {
         return next_ >= line_.size();
     }
-    const Token &word()
+    const Token &token()
     {
         if (done()) {
             Token after = line_.back();
@@ -78,14 +78,14 @@
     }
     void expect(const std::string &text)
     {
-        const Token &found = word();
+        const Token &found = token();
         if (found.text != text) {
             throwAt(found, "expected \"" + text + "\"");
         }
     }
     double number()
     {
-        const Token &found = word();
+        const Token &found = token();
         char *end = nullptr;
         const double value = std::strtod(found.text.c_str(), &end);
         if (end == found.text.c_str() || *end != '\0') {
@@ -95,7 +95,7 @@
     }
     Millis duration()
     {
-        const Token &found = word();
+        const Token &found = token();
         const auto value = parseDuration(found.text);
         if (!value) {
             throwAt(found, value.error().message);
@@ -104,7 +104,7 @@
     }
     double share()
     {
-        const Token &found = word();
+        const Token &found = token();
         const auto value = parsePercentage(found.text);
         if (!value) {
             throwAt(found, value.error().message);
@@ -125,10 +125,10 @@
 
 using Action = std::function<void(HomeRig &)>;
 
-Action parseAction(Reader &reader, const RigOptions &options)
+Action parseAction(LineReader &reader, const RigOptions &options)
 {
     reader.expect("server");
-    const Token name = reader.word();
+    const Token name = reader.token();
     const bool all = name.text == "all";
     bool known = all;
     for (int i = 0; i < options.servers; ++i) {
@@ -137,7 +137,7 @@
     if (!known) {
         throwAt(name, "no such server");
     }
-    const Token verb = reader.word();
+    const Token verb = reader.token();
     std::function<void(FakeServer &, SteadyTime)> set;
     if (verb.text == "stall") {
         set = [share = reader.share()](FakeServer &s, SteadyTime) { s.stallShare = share; };
@@ -170,7 +170,7 @@
     };
 }
 
-/** A condition that is looked at every 10 ms. */
+/** A condition that is checked every 10 ms. */
 struct Condition {
     std::string server;
     bool out = true;
@@ -181,12 +181,12 @@
     }
 };
 
-Condition parseCondition(Reader &reader)
+Condition parseCondition(LineReader &reader)
 {
     reader.expect("server");
     Condition condition;
-    condition.server = reader.word().text;
-    const Token &state = reader.word();
+    condition.server = reader.token().text;
+    const Token &state = reader.token();
     if (state.text != "out" && state.text != "in") {
         throwAt(state, "expected \"out\" or \"in\"");
     }
@@ -194,7 +194,7 @@
     return condition;
 }
 
-/** A scenario while it runs. */
+/** A scenario in progress. */
 class Run
 {
 public:
@@ -215,11 +215,11 @@
 private:
     void statement(const Line &line)
     {
-        Reader reader(line);
-        const Token &first = reader.word();
+        LineReader reader(line);
+        const Token &first = reader.token();
         if (first.text == "story") {
             while (!reader.done()) {
-                result_.story += reader.word().text + " ";
+                result_.story += reader.token().text + " ";
             }
             return;
         }
@@ -250,13 +250,13 @@
         reader.finish();
     }
 
-    void service(Reader &reader, const Token &at)
+    void service(LineReader &reader, const Token &at)
     {
         if (rig_) {
             throwAt(at, "there is one service");
         }
         while (!reader.done()) {
-            const Token &key = reader.word();
+            const Token &key = reader.token();
             if (key.text == "servers") {
                 options_.servers = static_cast<int>(reader.number());
             } else if (key.text == "slots") {
@@ -272,7 +272,7 @@
             } else if (key.text == "writes") {
                 options_.idempotentShare = 1.0 - reader.share();
             } else if (key.text == "care") {
-                care(reader.word());
+                care(reader.token());
             } else {
                 throwAt(key, "unknown property of the service");
             }
@@ -280,15 +280,15 @@
         rig_ = std::make_unique<HomeRig>(options_);
     }
 
-    void care(const Token &word)
+    void care(const Token &token)
     {
         for (const EjectionPolicy one : {EjectionPolicy::Fast, EjectionPolicy::Balanced, EjectionPolicy::Careful}) {
-            if (word.text == ejectionPolicyName(one)) {
+            if (token.text == ejectionPolicyName(one)) {
                 options_.policy = one;
                 return;
             }
         }
-        throwAt(word, "care is fast, balanced or careful");
+        throwAt(token, "care is fast, balanced or careful");
     }
 
     void fail(const Token &at, const std::string &what)
@@ -296,7 +296,7 @@
         result_.failures.push_back("line " + std::to_string(at.line) + ": " + what);
     }
 
-    void expectation(Reader &reader, const Token &at)
+    void expectation(LineReader &reader, const Token &at)
     {
         ++result_.expectations;
         if (reader.accept("within")) {
--- a/tests/support/Scenario.h
+++ b/tests/support/Scenario.h
@@ -7,7 +7,7 @@
 
 namespace waxwing::testing {
 
-/** What running a scenario gave: one line for each expectation that did not hold. */
+/** Result of a scenario, with one line for each expectation that did not hold. */
 struct ScenarioResult {
     std::string story;
     std::vector<std::string> failures;
@@ -21,7 +21,7 @@
  *     service servers 12 slots 3 rate 300 response 300ms care fast floor 8 seed 1 [writes 20%]
  *     at 10s server s3 stall 100%                  also: errors SHARE, slow FACTOR, flap PERIOD, cold TIME, well,
  *                                                  silent, drain; "server all" means each one
- *     when server s3 out then server s4 stall 100% does it once that has come true
+ *     when server s3 out then server s4 stall 100% acts once the condition holds
  *     expect within 1s of 10s server s3 out        also: in
  *     expect never server s5 out
  *     expect never below 8
--- a/tests/unit/ScenarioTest.cpp
+++ b/tests/unit/ScenarioTest.cpp
@@ -8,7 +8,7 @@
 using namespace waxwing;
 using namespace waxwing::testing;
 
-TEST_CASE("scenario files, each one, holds what it expects")
+TEST_CASE("scenario files, each one, meets its expectations")
 {
     int files = 0;
     for (const auto &entry : std::filesystem::directory_iterator(SCENARIO_DIR)) {
@@ -27,7 +27,7 @@
     CHECK(files >= 8);
 }
 
-TEST_CASE("scenario language, faults in the text, are named with line and column")
+TEST_CASE("scenario language, errors in the text, are reported with line and column")
 {
     const std::string service = "story s\nservice servers 3\n";
     const auto errorOf = [](const std::string &text) {
@@ -43,7 +43,7 @@
     CHECK(errorOf("story s\nend 1s").find("2:1: the service comes first") == 0);
 }
 
-TEST_CASE("scenario language, expectation that does not hold, is reported and not passed over")
+TEST_CASE("scenario language, expectation that does not hold, is reported")
 {
     const auto result = runScenario("story s\nservice servers 4 rate 50\nexpect within 1s of 1s server s1 out\n"
                                     "expect good at least 100%\nexpect never server s2 in\nend 5s");
