--- a/bench/detectors.cpp
+++ b/bench/detectors.cpp
@@ -1,7 +1,6 @@
 /**
- * Compares detectors on the same scripted faults: detection time of the sick server and false ejections, for the
- * settings of both users and for little and much traffic. Run: bench-detectors [quick|full]; full adds the long
- * healthy runs.
+ * Compares detectors on the same scripted faults: detection time for the unhealthy server and false ejections, for two
+ * ejection policies at low and high traffic. Run: bench-detectors [quick|full]; full adds the long runs without faults.
  */
 #include "tests/support/HomeRig.h"
 
@@ -19,9 +18,9 @@
     const char *name;
     std::function<void(FakeServer &, SteadyTime now)> set;
     bool wholeService = false;
-    /** Time after which the fault ends; zero: it stays. */
+    /** Length of the fault; zero: it does not end. */
     Millis lasts{0};
-    /** Nobody should leave. */
+    /** No server should be ejected. */
     bool harmless = false;
 };
 
@@ -54,7 +53,7 @@
 
 constexpr int runs = 21;
 constexpr seconds faultAt{20};
-constexpr seconds watched{40};
+constexpr seconds observationTime{40};
 
 void compare(EjectionPolicy policy, double rate)
 {
@@ -62,7 +61,7 @@
         for (const Choice &choice : choices) {
             std::vector<double> detection;
             int missed = 0;
-            int wrong = 0;
+            int falseEjections = 0;
             for (int run = 0; run < runs; ++run) {
                 RigOptions options;
                 options.rate = rate;
@@ -81,13 +80,13 @@
                 if (fault.lasts > Millis(0)) {
                     rig.at(faultAt + fault.lasts, [&] { rig.server("s3") = FakeServer{}; });
                 }
-                rig.runUntil(faultAt + watched);
+                rig.runUntil(faultAt + observationTime);
                 bool found = false;
                 for (const Ejection &ejection : rig.ejections()) {
-                    const bool right =
+                    const bool correct =
                         ejection.server == "s3" && ejection.at >= rig.start() + faultAt && !fault.harmless;
-                    wrong += right ? 0 : 1;
-                    if (right && !found) {
+                    falseEjections += correct ? 0 : 1;
+                    if (correct && !found) {
                         found = true;
                         const SteadyTime from = std::max(rig.firstLate("s3"), rig.start() + faultAt);
                         detection.push_back(std::chrono::duration<double>(ejection.at - from).count());
@@ -103,7 +102,7 @@
             };
             std::printf("%-9s %5.0f/s  %-20s %-12s median %6.2f s  worst %6.2f s  missed %2d/%d  false %d\n",
                         ejectionPolicyName(policy), rate, fault.name, choice.name, quantile(0.5), quantile(1.0), missed,
-                        runs, wrong);
+                        runs, falseEjections);
             std::fflush(stdout);
         }
     }
--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -1,6 +1,6 @@
 /**
- * What queues, early refusal and the share of slots that one class may hold do at one home: goodput at one to three
- * times its capacity against a baseline without early refusal, and a fast class's times beside a slow class.
+ * Measures queues, early refusal and the limit on the slots of one class at one home: goodput at one to three times its
+ * capacity against a baseline without early refusal, and response times of a fast class beside a slow class.
  */
 #include "tests/support/HomeRig.h"
 
@@ -23,7 +23,7 @@
     return values[static_cast<std::size_t>(0.99 * static_cast<double>(values.size() - 1))];
 }
 
-RigOptions overloadOptions(double times, bool limits)
+RigOptions overloadOptions(double loadFactor, bool limits)
 {
     RigOptions options;
     options.servers = 4;
@@ -31,25 +31,25 @@
     options.responseTime = Millis(600);
     options.deadline = Millis(600);
     options.floor = CapacityFloor{4, 0.0};
-    // 12 slots at a mean of 60 ms a request.
-    options.rate = 200.0 * times;
+    // 12 slots at a mean of 60 ms per request.
+    options.rate = 200.0 * loadFactor;
     options.refuseEarly = limits;
     options.queuePerClass = limits ? 64 : 1000000;
     return options;
 }
 
-void goodput(double times, bool limits)
+void measureGoodput(double loadFactor, bool limits)
 {
-    HomeRig rig(overloadOptions(times, limits));
+    HomeRig rig(overloadOptions(loadFactor, limits));
     rig.runUntil(length);
     const double seconds = std::chrono::duration<double>(length).count();
     std::printf("load %.1fx  %-22s good %6.1f/s  late or timed out %6.1f/s  refused at once %6.1f/s  p99 %6.1f ms\n",
-                times, limits ? "limits" : "baseline (no limits)", static_cast<double>(rig.good) / seconds,
+                loadFactor, limits ? "limits" : "baseline (no limits)", static_cast<double>(rig.good) / seconds,
                 static_cast<double>(rig.late + rig.failed) / seconds, static_cast<double>(rig.refused) / seconds,
                 p99(rig.readMs));
 }
 
-void besideSlowClass(double share, double slowShare)
+void measureBesideSlowClass(double share, double slowShare)
 {
     RigOptions options;
     options.servers = 4;
@@ -71,13 +71,13 @@
 
 int main()
 {
-    for (const double times : {0.8, 1.0, 2.0, 3.0}) {
-        goodput(times, false);
-        goodput(times, true);
+    for (const double loadFactor : {0.8, 1.0, 2.0, 3.0}) {
+        measureGoodput(loadFactor, false);
+        measureGoodput(loadFactor, true);
     }
     for (const double slowShare : {0.0, 0.05, 0.1, 0.2}) {
         for (const double share : {1.0, 0.75, 0.5}) {
-            besideSlowClass(share, slowShare);
+            measureBesideSlowClass(share, slowShare);
         }
     }
     return 0;
