--- a/include/wire/Messages.h
+++ b/include/wire/Messages.h
@@ -17,85 +17,85 @@
 
 namespace waxwing {
 
-/** Version of the node-to-node protocol; a node refuses messages of another one. */
+/** Version of the node-to-node protocol. A node rejects messages of any other version. */
 constexpr int wireVersion = 5;
 
-/** What happened to a request, as told to its caller. */
+/** What happened to a request, as reported to its caller. */
 enum class Outcome : std::uint8_t {
     Ran = 1,
-    /** Provably never handed to a server. */
+    /** It is certain that it has not run. */
     NotRun = 2,
-    /** May have run; never reported as not run. */
+    /** May have run. Never reported as not run. */
     Unknown = 3,
 };
 
 const char *outcomeName(Outcome outcome);
 
-/** First message on a link: who speaks. */
+/** First message on a link; identifies the sender. */
 struct Hello {
     NodeRef from;
 };
 
-/** Who is asked to do what with a request. */
+/** What the receiver of an Exec does with its request. */
 enum class ExecStage : std::uint8_t {
-    /** To the incarnation that owns the ticket: claim it, then run it. */
+    /** Sent to the incarnation that owns the ticket, which claims the ticket and then runs the request. */
     Claim = 1,
-    /** To a home: hand it to one of its servers, at most once. */
+    /** Sent to a home, which hands the request to one of its servers, at most once. */
     Run = 2,
 };
 
-/** A request on its way through the fleet. */
+/** A request that one node forwards to another. */
 struct Exec {
     std::uint64_t id = 0;
     ExecStage stage = ExecStage::Run;
     std::string service;
     std::string className;
     std::string customer;
-    /** Ticket text; empty for unkeyed work. */
+    /** Ticket text; empty for a request without an idempotency key. */
     std::string ticket;
     Millis remaining{0};
     HttpRequest request;
 };
 
-/** The end of an Exec, sent exactly once by whoever took it. */
+/** The result of an Exec, sent exactly once by the node that accepted it. */
 struct ExecReply {
     std::uint64_t id = 0;
     Outcome outcome = Outcome::Unknown;
-    /** Stable word for the refusal or fault; empty if the request ran. */
+    /** Stable code of the refusal or fault; empty if the request ran. */
     std::string reason;
-    /** When to ask again; zero if asking again makes no sense. */
+    /** When to retry; zero if a retry can't help. */
     Millis retryAfter{0};
     std::string server;
-    /** Free slots and queued requests at the home, for the sender's next choice. */
+    /** Free slots and queued requests at the home; the sender uses them to choose the next home. */
     std::int32_t freeSlots = 0;
     std::int32_t queued = 0;
     HttpResponse response;
 };
 
-/** The sender no longer wants the answer to its Exec. */
+/** Cancels a request: the sender no longer waits for its reply. */
 struct Cancel {
     std::uint64_t id = 0;
-    /** Only if it has not begun: otherwise the sender still wants the answer. */
+    /** Cancels the request only if it has not started; otherwise the sender still waits for the reply. */
     bool onlyIfQueued = false;
 };
 
-/** Records that changed, passed on. */
+/** Changed records, sent on to gossip partners. */
 struct RecordsPush {
     std::vector<Record> records;
 };
 
-/** Records that changed, by name only: a receiver that lacks one asks for it with @c want set. */
+/** Keys and versions of changed records. A receiver that lacks one requests it with @c want set. */
 struct RecordNames {
     bool want = false;
     std::vector<RecordName> names;
 };
 
-/** Summary of the sender's record table. */
+/** Bucket hashes of the sender's record table. */
 struct DigestOffer {
     RecordTable::BucketHashes hashes{};
 };
 
-/** Names in buckets that differ; @p answer is set on the second leg, which asks for nothing back. */
+/** Keys and versions of the records in differing buckets. @c answer marks the reply, which gets no reply itself. */
 struct BucketNames {
     bool answer = false;
     std::vector<std::pair<std::uint32_t, std::vector<RecordName>>> buckets;
@@ -109,7 +109,7 @@
     std::uint64_t id = 0;
 };
 
-/** One finished claim, handed to the successor at a graceful stop. */
+/** One finished claim, transferred to the successor at a graceful shutdown. */
 struct ClaimTransfer {
     std::string ticket;
     std::uint64_t requestDigest = 0;
@@ -117,79 +117,90 @@
     HttpResponse response;
 };
 
-/** An incarnation whose tickets were decided at the sender, and its age then. */
+/** An incarnation whose claims the sender holds, and the age of that incarnation at the transfer. */
 struct ClaimOwner {
     NodeRef ref;
     Millis age{0};
 };
 
-/** All claims of a leaving node; acknowledged with a Pong of the same id. */
+/** All claims of a node that shuts down; acknowledged with a Pong of the same id. */
 struct ClaimHandover {
     std::uint64_t id = 0;
     std::vector<ClaimOwner> owners;
     std::vector<ClaimTransfer> claims;
 };
 
-/** Versions that a node holds, on every message about work: who sees a higher one asks its sender for it. */
+/**
+ * Versions that a node holds, attached to every message about work. A receiver that holds a lower version requests the
+ * newer state from the sender.
+ */
 struct KnownVersions {
     std::uint64_t config = 0;
     std::uint64_t registry = 0;
-    /** So long ago it was known that no newer configuration existed; cut at maxConfigAge. */
+    /** Time since it was last confirmed that no newer configuration existed; capped at maxConfigAge. */
     Millis configAge = maxConfigAge;
-    /** The store answered when this node asked it last. */
+    /** The store responded to this node's last call. */
     bool isStoreReachable = false;
 
-    /** Beyond this age, or if it was never confirmed, the age says nothing. */
+    /** An age of this value or above, also used if the configuration was never confirmed, carries no information. */
     static constexpr Millis maxConfigAge{25500};
 };
 
-/** A request for the one server beside the receiver. */
+/** A request for the backend server beside the receiving node. */
 struct Work {
     /** Unique within the sender's incarnation. */
     std::uint64_t id = 0;
-    /** The caller's own id, for logs. */
+    /** The caller's request id, for logs. */
     std::string requestId;
     std::string service;
     std::string route;
     bool idempotent = false;
-    /** If the server fails it, the sender can and will send it to another one. */
+    /** The sender will retry it on another server if this one fails. */
     bool retryable = false;
-    /** The sender knows of the doubt about the server and has nothing better. */
+    /** The sender knows that the server is probably gray and has no better choice. */
     bool acceptsGray = false;
-    /** 0 is the most urgent: calls that other work waits for. Callers' work has its route's rank plus one. */
+    /**
+     * 0 is the highest priority: nested calls, which other requests wait for. Callers' requests have the rank of their
+     * route plus one.
+     */
     std::uint8_t priority = 0;
-    /** Time left to the deadline and to the objective when it was sent; durations, since clocks differ. */
+    /**
+     * Time left at sending until the deadline and until the response-time objective. Durations, because clocks differ
+     * between nodes.
+     */
     Millis remaining{0};
     Millis untilObjective{0};
     Millis queueTimeout{0};
-    /** Age of the link's Hello at the sender when this was sent: tells the receiver how long it was under way. */
+    /**
+     * Age of the link's Hello at the sender when this was sent; lets the receiver compute the delay of this message.
+     */
     Millis helloAge{0};
     KnownVersions versions;
     HttpRequest request;
 };
 
-/** The home has the request: it waits or runs there. */
+/** Acknowledges a Work: the home has queued or started it. */
 struct WorkAck {
     std::uint64_t id = 0;
     KnownVersions versions;
 };
 
-/** The end of a Work, sent once by the home that took it. */
+/** The result of a Work, sent once by the home that accepted it. */
 struct WorkReply {
     std::uint64_t id = 0;
     Outcome outcome = Outcome::Unknown;
-    /** The server answered, but with a fault of its own. */
+    /** The server responded, but with an error of its own. */
     bool serverFault = false;
-    /** The request was handed to the server, whatever became of it. */
+    /** The request was sent to the server, whatever its outcome. */
     bool reachedServer = false;
-    /** Stable word for a refusal or fault; empty if there is an answer. */
+    /** Stable code of a refusal or fault; empty if there is a response. */
     std::string reason;
     std::string server;
-    /** How long the server worked on it. */
+    /** Time that the server took. */
     Millis processingTime{0};
-    /** Calls that a run of this route makes, as its home has learned. */
+    /** Calls that one execution of this route makes, as measured by its home. */
     CallRates calls;
-    /** By where the requests of this route come from, they are calls of servers. */
+    /** The home infers from the origin of this route's requests that they are nested calls. */
     bool nestedCall = false;
     HomeLoad load;
     KnownVersions versions;
@@ -197,36 +208,39 @@
 };
 
 /**
- * Asks what became of a Work, and that it is never run if it has not begun: sent when nothing comes back, on a fresh
- * link to the home or through a third node, which passes it on.
+ * Queries the execution state of a Work, and prevents its execution if it has not started. Sent when no reply arrives,
+ * over a new link to the home or through a third node that relays it.
  */
 struct Fence {
     std::uint64_t id = 0;
     /** The incarnation to which the work was sent. */
     NodeRef target;
-    /** Who sent it. */
+    /** The incarnation that sent the work. */
     NodeRef origin;
     std::uint64_t workId = 0;
-    /** Only asks; does not forbid. */
+    /** Queries the state without preventing the execution. */
     bool queryOnly = false;
-    /** Asks for the answer also if it is large; without this only a small one comes along. */
+    /** Requests the reply even if it is large; otherwise only a small reply is included. */
     bool includeLargeReply = false;
-    /** How long before this question the work was sent: the target may have forgotten works that ended since. */
+    /**
+     * Time between sending the work and sending this fence. The target may have discarded the results of work that
+     * ended since.
+     */
     Millis workAge{0};
 };
 
 enum class FenceState : std::uint8_t {
     /** It has not run and never will. */
     NeverRuns = 1,
-    /** It waits or runs. */
+    /** It is queued or running. */
     Underway = 2,
-    /** It ended; the reply comes along unless it is large and was not asked for. */
+    /** It ended. The reply is included unless it is large and was not requested. */
     Ended = 3,
-    /** The target can't be reached, or is another incarnation. */
+    /** The target is unreachable, or is another incarnation. */
     NotKnown = 4,
 };
 
-/** Name of @p state as it stands in logs. Thread safe. */
+/** Returns the name of @p state that logs use. Thread safe. */
 const char *fenceStateName(FenceState state);
 
 struct FenceReply {
@@ -235,27 +249,27 @@
     std::optional<WorkReply> reply;
 };
 
-/** Asks another node to lend some of its second sends for a service. */
+/** Requests retry budget tokens for a service from another node. */
 struct BudgetTransferRequest {
     std::uint64_t id = 0;
     std::string service;
     double tokens = 0.0;
-    /** More urgent requests need the service's second sends as well. */
+    /** Requests of higher priority also need retries of this service. */
     bool lowPriority = false;
 };
 
-/** The second sends lent; none if the lender has none to spare. */
+/** The tokens transferred; zero if the other node has none to spare. */
 struct BudgetTransferReply {
     std::uint64_t id = 0;
     double tokens = 0.0;
 };
 
-/** The sender gets no answer from a node any more: the receiver does well to try its own path to it. */
+/** The sender gets no more replies from a node; the receiver should probe its own path to it. */
 struct PathSuspicion {
     std::string node;
 };
 
-/** Asks which versions the receiver holds, and for what it holds in a higher one. */
+/** Requests the receiver's versions, and the state that it holds in a higher version. */
 struct StateUpdateRequest {
     std::uint64_t id = 0;
     KnownVersions versions;
@@ -263,9 +277,9 @@
     bool wantsRegistry = false;
 };
 
-/** The configuration's document, and the roster as a whole; each only if it is newer for the receiver. */
+/** The configuration document and the whole registry, each only if it is newer than the receiver's. */
 struct StateUpdate {
-    /** Of the request that it answers; 0 if nobody asked. */
+    /** Id of the request that it answers; 0 if it was not requested. */
     std::uint64_t id = 0;
     KnownVersions versions;
     std::string config;
@@ -276,11 +290,11 @@
                              Pong, ClaimHandover, Work, WorkAck, WorkReply, Fence, FenceReply, StateUpdateRequest,
                              StateUpdate, BudgetTransferRequest, BudgetTransferReply, PathSuspicion>;
 
-/** The body of the request or answer that @p message carries, or null if it carries none. Thread safe. */
+/** Returns the body of the HTTP request or response in @p message, or null if it has none. Thread safe. */
 std::string *bodyOf(Message &message);
-/** CBOR of @p message. Thread safe. */
+/** Encodes @p message as CBOR. Thread safe. */
 std::string encodeMessage(const Message &message);
-/** Errors: Malformed, for anything that is not exactly one message of this version. Thread safe. */
+/** Decodes one message. Errors: Malformed, if @p bytes are not exactly one message of this version. Thread safe. */
 Expected<Message> decodeMessage(const std::string &bytes);
 
 } // namespace waxwing
--- a/src/wire/Messages.cpp
+++ b/src/wire/Messages.cpp
@@ -34,7 +34,7 @@
     PathSuspicion,
 };
 
-/** Positions 0 and 1 of each message hold the protocol version and the type. */
+/** Position of a message's first own field: positions 0 and 1 hold the protocol version and the type. */
 constexpr std::size_t firstField = 2;
 constexpr std::size_t maxHeaders = 1000;
 
@@ -63,7 +63,7 @@
 {
     HeaderList headers;
     if (!value.is_array() || value.size() % 2 != 0 || value.size() / 2 > maxHeaders) {
-        throw json::other_error::create(501, "bad header list", &value);
+        throw json::other_error::create(501, "malformed header list", &value);
     }
     for (std::size_t i = 0; i < value.size(); i += 2) {
         headers.emplace_back(textOf(value[i]), textOf(value[i + 1]));
@@ -160,13 +160,13 @@
     return NodeRef{value.at(0).get<std::string>(), value.at(1).get<std::uint64_t>()};
 }
 
-/** An age takes one or two bytes so. */
+/** Resolution of an encoded age, which takes one or two bytes this way. */
 constexpr Millis configAgeStep{100};
 constexpr std::uint64_t maxConfigAgeSteps = KnownVersions::maxConfigAge / configAgeStep;
 
 json versionsOf(const KnownVersions &versions)
 {
-    // Rounded up: an age may be taken for more than it is, never for less.
+    // Rounded up: the receiver may overestimate the age, but must not underestimate it.
     const auto steps = (versions.configAge + configAgeStep - Millis(1)) / configAgeStep;
     return json::array({versions.config, versions.registry, steps, versions.isStoreReachable});
 }
@@ -419,7 +419,7 @@
     m.id = in.at(firstField).get<std::uint64_t>();
     const int stage = in.at(firstField + 1).get<int>();
     if (stage != static_cast<int>(ExecStage::Claim) && stage != static_cast<int>(ExecStage::Run)) {
-        throw json::other_error::create(501, "unknown stage", &in);
+        throw json::other_error::create(501, "unknown stage of an Exec", &in);
     }
     m.stage = static_cast<ExecStage>(stage);
     m.service = in.at(firstField + 2).get<std::string>();
@@ -467,7 +467,7 @@
 {
     const json &hashes = in.at(firstField);
     if (!hashes.is_array() || hashes.size() != RecordTable::bucketCount) {
-        throw json::other_error::create(501, "wrong number of buckets", &in);
+        throw json::other_error::create(501, "wrong number of bucket hashes", &in);
     }
     DigestOffer m;
     for (std::size_t i = 0; i < hashes.size(); ++i) {
@@ -620,7 +620,7 @@
         const json in = json::from_cbor(bytes);
         const int version = in.at(0).get<int>();
         if (version != wireVersion) {
-            return fail(ErrorCode::Malformed, "protocol version " + std::to_string(version));
+            return fail(ErrorCode::Malformed, "unsupported protocol version " + std::to_string(version));
         }
         return messageFrom(static_cast<Type>(in.at(1).get<int>()), in);
     } catch (const json::exception &error) {
