--- a/src/link/LinkFramer.cpp
+++ b/src/link/LinkFramer.cpp
@@ -4,17 +4,19 @@
 
 namespace {
 
-/** First byte of each frame. */
+/** Kinds of frames; the first byte of each frame. */
 constexpr char messageFrame = 0;
 constexpr char chunkFrame = 1;
-/** A message whose body came before it in parts. */
+/** A message whose body was sent before it in chunks. */
 constexpr char chunkedMessageFrame = 2;
 constexpr char chunkAckFrame = 3;
 
-/** Bodies up to this size stay in their message. */
+/** Larger bodies are sent in chunks, ahead of their message. */
 constexpr std::size_t maxInlineBytes = 16UL * 1024;
 constexpr std::size_t chunkBytes = 16UL * 1024;
-/** Parts on their way at once: what a small message may have to wait behind, and what one round trip carries. */
+/**
+ * Chunks in flight at once. Limits how long a small message waits behind chunks, and how much one round trip carries.
+ */
 constexpr std::size_t maxUnackedChunks = 3;
 constexpr std::size_t maxMessageBytes = 8UL * 1024 * 1024;
 
@@ -73,26 +75,26 @@
         return receiveChunk(frame, write);
     case chunkAckFrame:
         if (unackedChunks_ == 0) {
-            return fail(ErrorCode::Malformed, "acknowledges a part that was not sent");
+            return fail(ErrorCode::Malformed, "acknowledgement of a chunk that was not sent");
         }
         --unackedChunks_;
         if (!sendChunks(write)) {
-            return fail(ErrorCode::Unavailable, "the link takes no more");
+            return fail(ErrorCode::Unavailable, "write to the link failed");
         }
         return std::optional<Message>();
     default:
-        return fail(ErrorCode::Malformed, "unknown kind of frame");
+        return fail(ErrorCode::Malformed, "unknown frame kind");
     }
 }
 
 Expected<std::optional<Message>> LinkFramer::receiveChunk(const std::string &frame, const Write &write)
 {
     if (receivedBody_.size() + frame.size() > maxMessageBytes) {
-        return fail(ErrorCode::Malformed, "body of more than " + std::to_string(maxMessageBytes) + " bytes");
+        return fail(ErrorCode::Malformed, "body larger than " + std::to_string(maxMessageBytes) + " bytes");
     }
     receivedBody_.append(frame, 1, std::string::npos);
     if (!write(std::string(1, chunkAckFrame))) {
-        return fail(ErrorCode::Unavailable, "the link takes no more");
+        return fail(ErrorCode::Unavailable, "write to the link failed");
     }
     return std::optional<Message>();
 }
@@ -110,7 +112,7 @@
     if (hasBody) {
         std::string *body = bodyOf(*message);
         if (body == nullptr || receivedBody_.empty()) {
-            return fail(ErrorCode::Malformed, "a message that has no body came with parts of one");
+            return fail(ErrorCode::Malformed, "message and preceding body chunks do not match");
         }
         *body = std::move(receivedBody_);
         receivedBody_.clear();
--- a/src/link/LinkFramer.h
+++ b/src/link/LinkFramer.h
@@ -12,32 +12,36 @@
 namespace waxwing {
 
 /**
- * Turns the messages of one link into frames and back. A message goes out as one frame, compressed with what the link
- * carried before. A large body is taken out of its message and goes ahead of it in parts, of which only a few may be
- * unacknowledged; other messages pass between the parts.
+ * Encodes the messages of one link as frames and decodes them. A message is sent as one frame, compressed with the
+ * link's earlier messages as history. A large body is removed from its message and sent ahead of it in chunks, of which
+ * only a few may be unacknowledged; other messages are sent between the chunks.
  *
- * Without parts, a message of some hundred bytes waited behind whole answers of a hundred times its size: on a narrow
- * link receipts came late, and a path that only was busy was taken for broken. Opens no socket. Not thread safe.
+ * Without chunks, a message of a few hundred bytes waited behind whole responses of a hundred times its size. On a slow
+ * link acknowledgements arrived late, and a path that was only busy was treated as failed. Opens no socket. Not thread
+ * safe.
  */
 class LinkFramer
 {
 public:
-    /** Writes one frame; false if the link takes no more. */
+    /** Writes one frame; returns false if the write failed. */
     using Write = std::function<bool(const std::string &frame)>;
 
-    /** False if a frame could not be written: the other end would misread what follows, so the link is of no use. */
+    /**
+     * Sends @p message. Returns false if a frame could not be written; the link must be closed then, since the peer
+     * would misread all later frames.
+     */
     bool send(Message message, const Write &write);
     /**
-     * Takes a frame from the other end; a message once it is whole. Acknowledges parts, and sends on what waited for an
-     * acknowledgement, by @p write. Errors: Malformed; Unavailable if @p write failed.
+     * Processes a frame from the peer. Returns a message once it is complete. Writes acknowledgements of chunks, and
+     * the chunks that waited for an acknowledgement, with @p write. Errors: Malformed; Unavailable if @p write failed.
      */
     Expected<std::optional<Message>> receive(const std::string &frame, const Write &write);
-    /** Bytes of large bodies that wait for the other end. */
+    /** Bytes of large bodies that are not sent yet. */
     std::size_t queuedBytes() const;
 
 private:
     struct ChunkedMessage {
-        /** Without its body. */
+        /** The message without its body. */
         Message message;
         std::string body;
         std::size_t sent = 0;
@@ -52,7 +56,7 @@
     MessageInflater inflater_;
     std::deque<ChunkedMessage> queue_;
     std::size_t unackedChunks_ = 0;
-    /** Parts that came for the message whose rest is still to come. */
+    /** Chunks received for the next chunked message. */
     std::string receivedBody_;
 };
 
