--- a/src/link/MessageDeflate.cpp
+++ b/src/link/MessageDeflate.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 /**
- * 4 KB of history, some three messages: a link holds about 45 KB for both directions, and a node has two links to each
- * other one. Negative for a raw stream without header and checksum.
+ * 4 KB of history, about three messages. A link takes about 45 KB for both directions, and a node has two links to each
+ * other node. Negative for a raw stream without header and checksum.
  */
 constexpr int windowBits = -12;
 constexpr int memoryLevel = 5;
 constexpr int level = 6;
 constexpr std::size_t bufferBytes = 4096;
-/** What each flush ends with; left out on the wire. */
+/** The last bytes of each sync flush, which are not sent. */
 constexpr std::array<char, 4> flushTrailer = {'\x00', '\x00', '\xff', '\xff'};
 
 Bytef *inputOf(const std::string &bytes)
 {
-    // zlib's interface lacks const here; it does not write to its input.
+    // zlib's interface lacks const here, but zlib does not write to its input.
     return reinterpret_cast<Bytef *>(const_cast<char *>(bytes.data()));
 }
 
@@ -36,7 +36,7 @@
     : stream_(std::make_unique<Stream>())
 {
     if (deflateInit2(&stream_->z, level, Z_DEFLATED, windowBits, memoryLevel, Z_DEFAULT_STRATEGY) != Z_OK) {
-        throw std::runtime_error("zlib: no memory for a link's deflate stream");
+        throw std::runtime_error("zlib: cannot allocate the deflate stream of a link");
     }
 }
 
@@ -70,7 +70,7 @@
     : stream_(std::make_unique<Stream>())
 {
     if (inflateInit2(&stream_->z, windowBits) != Z_OK) {
-        throw std::runtime_error("zlib: no memory for a link's inflate stream");
+        throw std::runtime_error("zlib: cannot allocate the inflate stream of a link");
     }
 }
 
@@ -92,14 +92,14 @@
         z.next_out = reinterpret_cast<Bytef *>(buffer.data());
         z.avail_out = static_cast<uInt>(buffer.size());
         const int result = ::inflate(&z, Z_SYNC_FLUSH);
-        // Z_BUF_ERROR: nothing was left to do, which is how a message ends that fills the buffer.
+        // Z_BUF_ERROR: no input was left, as after a message that exactly fills the buffer.
         if (result != Z_OK && result != Z_BUF_ERROR) {
             return fail(ErrorCode::Malformed, "not a deflate stream");
         }
         out.append(buffer.data(), buffer.size() - z.avail_out);
-        // A few bytes of a hostile stream can stand for gigabytes.
+        // A malicious stream of a few bytes can expand to gigabytes.
         if (out.size() > maxBytes) {
-            return fail(ErrorCode::Malformed, "message of more than " + std::to_string(maxBytes) + " bytes");
+            return fail(ErrorCode::Malformed, "message larger than " + std::to_string(maxBytes) + " bytes");
         }
     } while (z.avail_out == 0);
     return out;
--- a/src/link/MessageDeflate.h
+++ b/src/link/MessageDeflate.h
@@ -9,9 +9,9 @@
 namespace waxwing {
 
 /**
- * Compresses the messages that go out on one link, in the order in which they are sent. Later messages refer to what
- * earlier ones held, so header names, hosts and routes cost a few bytes after their first use: bytes between
- * availability zones and regions are paid for. The other end needs every message, in order. Not thread safe.
+ * Compresses the outgoing messages of one link, in sending order. All messages share one compression history, so header
+ * names, hosts and routes take only a few bytes after their first use: traffic between availability zones and regions
+ * is billed. The peer must receive every message, in order. Not thread safe.
  */
 class MessageDeflater
 {
@@ -28,7 +28,7 @@
     std::unique_ptr<Stream> stream_;
 };
 
-/** The other end of a MessageDeflater. Not thread safe. */
+/** Decompresses the messages of a MessageDeflater. Not thread safe. */
 class MessageInflater
 {
 public:
@@ -38,8 +38,8 @@
     MessageInflater &operator=(const MessageInflater &) = delete;
 
     /**
-     * The message that was compressed to @p bytes. Errors: Malformed, if it is no such stream or would be longer than
-     * @p maxBytes bytes; the link must be closed then, since nothing that follows can be read.
+     * Decompresses one message. Errors: Malformed, if @p bytes do not continue the stream or the message would be
+     * longer than @p maxBytes; the link must be closed then, since no later message can be decompressed.
      */
     Expected<std::string> inflate(const std::string &bytes, std::size_t maxBytes);
 
