--- a/src/link/PeerHub.cpp
+++ b/src/link/PeerHub.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t maxBufferedBytes = 16UL * 1024 * 1024;
 constexpr Millis helloTimeout{1500};
 
-/** Waits for something that may never come: opened by its event or by its timer, whichever is first. */
+/** A latch that is released by its event or by a timer, whichever comes first. */
 struct TimedLatch {
     TimedLatch(boost::asio::io_context &ioContext, Duration timeout)
         : timer(ioContext, timeout)
@@ -46,7 +46,7 @@
 } // namespace
 
 struct PeerHub::State : std::enable_shared_from_this<PeerHub::State> {
-    /** One WebSocket, in either direction. */
+    /** One WebSocket connection, opened by either side. */
     struct Link {
         LinkId id = 0;
         bool outgoing = false;
@@ -56,11 +56,11 @@
         bool helloReceived = false;
         bool closed = false;
         SteadyTime since = std::chrono::steady_clock::now();
-        /** When the listening side's Hello was sent, or came. */
+        /** When the listening side's Hello was sent or received. */
         std::optional<SteadyTime> helloAt;
         std::vector<std::shared_ptr<FiberLatch>> waiters;
         LinkFramer framer;
-        /** When the other end was heard last. */
+        /** When the last frame was received. */
         SteadyTime lastReceivedAt;
     };
     using LinkPtr = std::shared_ptr<Link>;
@@ -68,7 +68,7 @@
     struct Pending {
         LinkPtr link;
         std::shared_ptr<FiberLatch> latch;
-        bool answered = false;
+        bool replied = false;
         bool linkLost = false;
         ExecReply reply;
     };
@@ -89,7 +89,7 @@
     tl::expected<ExecReply, CallError> sendAndWait(const NodeRef &to, const Endpoint &endpoint,
                                                    const std::function<Message(std::uint64_t)> &messageOf,
                                                    Duration timeout, const std::function<void(std::uint64_t)> &onSent);
-    /** False if the link has closed, or holds more than the other end takes in time. */
+    /** False if the link has closed, or if too many bytes wait to be sent on it. */
     bool canSend(const LinkPtr &link);
     bool writeFrame(const LinkPtr &link, const std::string &frame);
     bool sendOn(const LinkPtr &link, Message message);
@@ -114,7 +114,7 @@
     std::map<LinkId, LinkPtr> links;
     std::map<NodeRef, LinkPtr> outgoing;
     std::map<Endpoint, LinkPtr> opening;
-    /** Outgoing links that have said hello. */
+    /** Outgoing links on which the peer's Hello was received. */
     std::map<Endpoint, LinkPtr> byEndpoint;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending;
     std::uint64_t bytesSent = 0;
@@ -207,7 +207,7 @@
             return;
         }
         if (link->closed) {
-            // Given up before it opened: left open it would be a link that nobody owns.
+            // The link was closed before it opened. Left open, it would have no owner.
             websocketpp::lib::error_code ignored;
             state->client.close(link->handle, websocketpp::close::status::going_away, "", ignored);
             return;
@@ -238,14 +238,14 @@
         timed.wait();
     }
     if (link->closed) {
-        return fail(ErrorCode::Unavailable, "no link to " + link->endpoint.text());
+        return fail(ErrorCode::Unavailable, "cannot connect to " + link->endpoint.text());
     }
     if (!link->helloReceived) {
-        // Another waiter may have more time left for the same link.
+        // Another waiter may still have time left for the same link.
         if (std::chrono::steady_clock::now() - link->since >= helloTimeout) {
             closeLink(link, websocketpp::close::status::going_away);
         }
-        return fail(ErrorCode::Timeout, "no hello from " + link->endpoint.text());
+        return fail(ErrorCode::Timeout, "no Hello received from " + link->endpoint.text());
     }
     return {};
 }
@@ -261,14 +261,15 @@
     }
     LinkPtr link = connectTo(endpoint);
     if (!link) {
-        return fail(ErrorCode::Unavailable, "can't connect to " + endpoint.text());
+        return fail(ErrorCode::Unavailable, "cannot connect to " + endpoint.text());
     }
     const Expected<void> hello = awaitHello(link);
     if (!hello) {
         return tl::unexpected<Error>(hello.error());
     }
     if (link->peer != to) {
-        return fail(ErrorCode::NotFound, "at " + endpoint.text() + " is " + link->peer.text() + ", not " + to.text());
+        return fail(ErrorCode::NotFound,
+                    endpoint.text() + " belongs to " + link->peer.text() + ", not to " + to.text());
     }
     return link;
 }
@@ -284,7 +285,7 @@
     }
     const LinkPtr link = connectTo(endpoint);
     if (!link) {
-        return fail(ErrorCode::Unavailable, "can't connect to " + endpoint.text());
+        return fail(ErrorCode::Unavailable, "cannot connect to " + endpoint.text());
     }
     const Expected<void> hello = awaitHello(link, timeout);
     if (!hello) {
@@ -358,7 +359,7 @@
     const bool helloFirst = link->helloReceived || (received && *received && std::holds_alternative<Hello>(**received));
     if (!received || !helloFirst) {
         if (hooks.onMalformed && (received || received.error().code == ErrorCode::Malformed)) {
-            hooks.onMalformed(received ? "message before hello" : received.error().message);
+            hooks.onMalformed(received ? "message before Hello" : received.error().message);
         }
         closeLink(link, websocketpp::close::status::unsupported_data);
         return;
@@ -403,7 +404,7 @@
     if (found == pending.end() || found->second->link != link) {
         return;
     }
-    found->second->answered = true;
+    found->second->replied = true;
     found->second->reply = std::move(reply);
     found->second->latch->release();
 }
@@ -455,18 +456,18 @@
 
 Expected<void> PeerHub::listen(const Endpoint &endpoint)
 {
-    boost::system::error_code bad;
-    const auto ip = boost::asio::ip::make_address(endpoint.address, bad);
+    boost::system::error_code addressError;
+    const auto ip = boost::asio::ip::make_address(endpoint.address, addressError);
     websocketpp::lib::error_code error;
     state_->server.listen(boost::asio::ip::tcp::endpoint(ip, endpoint.port), error);
     if (!error) {
         state_->server.start_accept(error);
     }
-    if (bad || error) {
+    if (addressError || error) {
         return fail(ErrorCode::Unavailable, "listen on " + endpoint.text() + ": " + error.message());
     }
     state_->listening = true;
-    state_->port = state_->server.get_local_endpoint(bad).port();
+    state_->port = state_->server.get_local_endpoint(addressError).port();
     return {};
 }
 
@@ -484,7 +485,7 @@
     }
     const State::LinkPtr link = state_->connectTo(endpoint);
     if (!link) {
-        return fail(ErrorCode::Unavailable, "can't connect to " + endpoint.text());
+        return fail(ErrorCode::Unavailable, "cannot connect to " + endpoint.text());
     }
     const Expected<void> hello = state_->awaitHello(link);
     if (!hello) {
@@ -535,7 +536,7 @@
         return tl::unexpected<Error>(link.error());
     }
     if (!state_->sendOn(*link, message)) {
-        return fail(ErrorCode::Unavailable, "link to " + to.text() + " takes no more");
+        return fail(ErrorCode::Unavailable, "link to " + to.text() + " is closed or its send buffer is full");
     }
     return {};
 }
@@ -557,17 +558,17 @@
     pending[id] = call;
     if (!sendOn(*link, messageOf(id))) {
         pending.erase(id);
-        return tl::unexpected<CallError>(CallError{false, "link takes no more"});
+        return tl::unexpected<CallError>(CallError{false, "link is closed or its send buffer is full"});
     }
     if (onSent) {
         onSent(id);
     }
     timed.wait();
     pending.erase(id);
-    if (call->answered) {
+    if (call->replied) {
         return std::move(call->reply);
     }
-    return tl::unexpected<CallError>(CallError{true, call->linkLost ? "link lost" : "no answer in time"});
+    return tl::unexpected<CallError>(CallError{true, call->linkLost ? "link lost" : "no reply in time"});
 }
 
 tl::expected<ExecReply, CallError> PeerHub::call(const NodeRef &to, const Endpoint &endpoint, Exec exec,
@@ -580,7 +581,7 @@
             onSent(id);
         }
     };
-    auto answer = state_->sendAndWait(
+    auto result = state_->sendAndWait(
         to, endpoint,
         [&](std::uint64_t id) {
             exec.id = id;
@@ -588,29 +589,29 @@
         },
         timeout, noteSent);
     const auto link = state_->outgoing.find(to);
-    if (!answer && sentId != 0 && link != state_->outgoing.end()) {
+    if (!result && sentId != 0 && link != state_->outgoing.end()) {
         state_->sendOn(link->second, Cancel{sentId});
     }
-    return answer;
+    return result;
 }
 
 Expected<void> PeerHub::sendAcknowledged(const NodeRef &to, const Endpoint &endpoint, ClaimHandover message,
                                          Duration timeout)
 {
-    const auto answer = state_->sendAndWait(to, endpoint,
+    const auto result = state_->sendAndWait(to, endpoint,
                                             [&](std::uint64_t id) {
                                                 message.id = id;
                                                 return Message(message);
                                             },
                                             timeout, {});
-    return answer ? Expected<void>() : fail(ErrorCode::Timeout, answer.error().reason);
+    return result ? Expected<void>() : fail(ErrorCode::Timeout, result.error().reason);
 }
 
 Expected<void> PeerHub::ping(const NodeRef &to, const Endpoint &endpoint, Duration timeout)
 {
-    const auto answer =
+    const auto result =
         state_->sendAndWait(to, endpoint, [](std::uint64_t id) { return Message(Ping{id}); }, timeout, {});
-    return answer ? Expected<void>() : fail(ErrorCode::Timeout, answer.error().reason);
+    return result ? Expected<void>() : fail(ErrorCode::Timeout, result.error().reason);
 }
 
 void PeerHub::closeUnidentified(Duration olderThan)
