--- a/src/fiber/FiberLoop.cpp
+++ b/src/fiber/FiberLoop.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t stackBytes = 128UL * 1024;
 
 /**
- * Round robin over ready fibers; with none ready the thread sleeps in the io_context until a handler or a
- * fiber's timer is due. Blocking there, instead of polling, keeps an idle node at next to no processor time.
+ * Round-robin scheduler. With no fiber ready, the thread blocks in the io_context until a handler or a fiber's timer is
+ * due. Blocking instead of polling keeps the processor time of an idle node near zero.
  */
 class AsioScheduler final : public boost::fibers::algo::algorithm
 {
@@ -66,7 +66,7 @@
 
 private:
     boost::asio::io_context &ioContext_;
-    // Without work of its own the io_context would stop when idle, and waiting in it would return at once for ever.
+    // Without outstanding work the io_context would stop when idle, and every later wait in it would return at once.
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     boost::fibers::scheduler::ready_queue_type ready_;
 };
--- a/src/fiber/FiberLoop.h
+++ b/src/fiber/FiberLoop.h
@@ -12,34 +12,37 @@
 
 namespace waxwing {
 
-/** Result of one asynchronous operation: its error and how many bytes it moved. */
+/** Result of one asynchronous operation: its error and the number of bytes transferred. */
 struct IoResult {
     boost::system::error_code error;
     std::size_t bytes = 0;
 };
 
-/** Makes this thread's fiber scheduler wait inside @p ioContext. Call once per thread, before the first fiber. */
+/** Makes this thread's fiber scheduler wait in @p ioContext. Call once per thread, before the first fiber. */
 void installFiberScheduler(boost::asio::io_context &ioContext);
 
-/** Starts @p body as a detached fiber with a stack of our own size. Exceptions end the process: none may escape. */
+/** Starts @p body as a detached fiber with a stack of 128 KB. An exception that escapes @p body ends the process. */
 void spawnFiber(std::function<void()> body);
 
 /**
- * Flushes the standard streams and ends the process. A thread with the fiber scheduler must end this way: its fibers
- * are unwound after main has destroyed the io_context that they and the scheduler still use.
+ * Flushes the standard streams and ends the process without destroying objects. A thread with the fiber scheduler must
+ * end this way: otherwise its fibers are unwound after main has destroyed the io_context that they and the scheduler
+ * still use.
  */
 [[noreturn]] void endProcess(int code);
 
 /** Suspends the calling fiber for @p length. @pre called from a fiber of the loop's thread. */
 void sleepFor(boost::asio::io_context &ioContext, Duration length);
 
-/** Wakes one waiting fiber once. Needs no lock: waiter and waker share the loop's thread. */
+/** A one-shot latch for one waiting fiber. Needs no lock: all its users run on the loop's thread. */
 class FiberLatch
 {
 public:
-    /** Suspends until release() was called; returns at once if it already was. @pre at most one waiter. */
+    /**
+     * Suspends the calling fiber until release() is called; returns at once if it already was. @pre at most one waiter.
+     */
     void wait();
-    /** Lets the waiter go on. Repeated calls do nothing. */
+    /** Resumes the waiter. Repeated calls have no effect. */
     void release();
     bool isReleased() const;
 
@@ -49,8 +52,8 @@
 };
 
 /**
- * Runs an Asio operation and suspends the calling fiber until its handler ran.
- * @p start receives the handler and passes it to the operation.
+ * Runs an Asio operation and suspends the calling fiber until the operation's handler has run. @p start receives the
+ * handler and passes it to the operation.
  */
 template<typename Start>
 IoResult await(Start start)
--- a/src/fiber/FiberNotifier.h
+++ b/src/fiber/FiberNotifier.h
@@ -7,8 +7,8 @@
 namespace waxwing {
 
 /**
- * Where one fiber waits for the next of many events, or for a time. Unlike a FiberLatch it can be waited at again; an
- * event between two waits is not lost. Not thread safe.
+ * Lets one fiber wait repeatedly for notifications, with a timeout. A notification between two waits ends the next wait
+ * at once. Not thread safe.
  */
 class FiberNotifier
 {
