--- a/src/http/HttpClient.cpp
+++ b/src/http/HttpClient.cpp
@@ -19,16 +19,16 @@
 namespace {
 
 constexpr std::size_t maxIdleConnections = 64;
-/** Answers to other requests that are read past before a connection is given up. */
+/** Responses to other requests that are skipped before a connection is closed. */
 constexpr int maxMismatchedResponses = 4;
-/** A connection is not used in the last part of the time for which its peer promised to keep it. */
+/** A connection is not reused this close to the end of the keep-alive time that its peer announced. */
 constexpr Millis keepAliveMargin{1000};
-/** A process that is there accepts or refuses a connection at once. */
+/** A live process accepts or refuses a connection within this time. */
 constexpr Millis connectProbeTimeout{250};
-/** A process that ends has closed all its sockets after this time, also on a VM whose share of a core is used up. */
+/** An exiting process has closed all its sockets after this time, even on a VM whose CPU share is used up. */
 constexpr Millis exitGrace{100};
 
-/** The seconds of "timeout=N" in a Keep-Alive header; negative if it names none. */
+/** Returns N of "timeout=N" in a Keep-Alive header; negative if there is none. */
 std::int64_t keepAliveSeconds(std::string_view header)
 {
     const std::string_view name = "timeout=";
@@ -102,7 +102,7 @@
         : stream(context)
     { }
 
-    /** True if the peer neither closed nor sent anything since the last answer. */
+    /** True if the peer has neither closed the connection nor sent anything since the last response. */
     bool isClean()
     {
         boost::system::error_code error;
@@ -114,10 +114,10 @@
 
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
-    /** The last answer ended where it should and nothing speaks against another request. */
+    /** The last response was complete, and the connection allows another request. */
     bool reusable = false;
     std::chrono::steady_clock::time_point idleSince;
-    /** How long the peer keeps it open, if it said so. */
+    /** How long the peer keeps the connection open, if it announced that. */
     Duration keepAliveTimeout = Duration::max();
 };
 
@@ -152,9 +152,9 @@
             [&](auto handle) { connection.stream.async_connect(tcp::endpoint(ip, endpoint.port), std::move(handle)); });
     }
     if (connected.error) {
-        const bool late =
+        const bool timedOut =
             connected.error == beast::error::timeout || connected.error == boost::asio::error::operation_aborted;
-        const ExchangeFailure failure = late ? ExchangeFailure::Timeout : ExchangeFailure::Connect;
+        const ExchangeFailure failure = timedOut ? ExchangeFailure::Timeout : ExchangeFailure::Connect;
         return tl::unexpected<ExchangeError>(ExchangeError{failure, false, false});
     }
     connection.stream.socket().set_option(tcp::no_delay(true), error);
@@ -184,34 +184,36 @@
         }
         if (read.error) {
             const ExchangeFailure failure = failureOf(read.error);
-            const bool midway = parser.is_header_done() && failure != ExchangeFailure::Timeout;
+            const bool truncated = parser.is_header_done() && failure != ExchangeFailure::Timeout;
             return tl::unexpected<ExchangeError>(
-                ExchangeError{midway ? ExchangeFailure::Truncated : failure, true, false});
+                ExchangeError{truncated ? ExchangeFailure::Truncated : failure, true, false});
         }
-        auto answer = parser.release();
+        auto message = parser.release();
         constexpr unsigned firstFinalStatus = 200;
-        if (answer.result_int() < firstFinalStatus) {
+        if (message.result_int() < firstFinalStatus) {
             continue;
         }
         HttpResponse response;
-        response.status = answer.result_int();
-        for (const auto &field : answer) {
+        response.status = message.result_int();
+        for (const auto &field : message) {
             if (!isHopByHop(field.name_string())) {
                 response.headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
             }
         }
-        response.body = std::move(answer.body());
+        response.body = std::move(message.body());
         const bool matchesRequest = !options.matchesRequest || options.matchesRequest(response);
-        // A surplus byte, or an answer to another request, means that the peer's idea of the order differs from ours.
-        connection.reusable = answer.keep_alive() && connection.buffer.size() == 0 && mismatched == 0 && matchesRequest;
-        const std::int64_t seconds = keepAliveSeconds(answer[http::field::keep_alive]);
+        // Surplus bytes, or a response to another request, mean that the peer's order of responses differs from the
+        // order of requests.
+        connection.reusable =
+            message.keep_alive() && connection.buffer.size() == 0 && mismatched == 0 && matchesRequest;
+        const std::int64_t seconds = keepAliveSeconds(message[http::field::keep_alive]);
         if (seconds >= 0) {
             connection.keepAliveTimeout = std::max(Millis(0), std::chrono::seconds(seconds) - keepAliveMargin);
         }
         if (matchesRequest) {
             return response;
         }
-        if (!answer.keep_alive()) {
+        if (!message.keep_alive()) {
             break;
         }
     }
@@ -271,7 +273,7 @@
             return failed(cancelled ? ExchangeFailure::Timeout : connected.error().failure, false);
         }
     }
-    // Written by a handler of its own while this fiber reads: the connection and the message must outlive both.
+    // The write runs while this fiber reads, so its handler keeps the connection and the message alive.
     struct Writing {
         http::request<http::string_body> message;
         bool done = false;
@@ -280,20 +282,20 @@
     writing->message = toBeast(endpoint, request);
     http::async_write(connection->stream, writing->message,
                       [writing, connection](beast::error_code error, std::size_t) { writing->done = !error; });
-    ExchangeResult answer = readResponse(*connection, request, options);
+    ExchangeResult result = readResponse(*connection, request, options);
     if (cancelled) {
         return failed(ExchangeFailure::Timeout, true);
     }
-    if (!answer) {
+    if (!result) {
         connection->stream.close();
-        return failed(answer.error().failure, true);
+        return failed(result.error().failure, true);
     }
     if (connection->reusable && writing->done && !options.newConnection) {
         returnToPool(endpoint, connection);
     } else {
         connection->stream.close();
     }
-    return answer;
+    return result;
 }
 
 bool HttpClient::acceptsConnections(const Endpoint &endpoint, Duration timeout)
--- a/src/http/HttpClient.h
+++ b/src/http/HttpClient.h
@@ -21,11 +21,11 @@
     Connect,
     /** The peer closed or reset the connection. */
     Reset,
-    /** The time allowed ran out. */
+    /** The timeout expired. */
     Timeout,
-    /** The answer ended before its whole body had come. */
+    /** The response ended before its body was complete. */
     Truncated,
-    /** The answer was not HTTP. */
+    /** The response was not valid HTTP. */
     Malformed,
 };
 
@@ -35,15 +35,15 @@
 struct ExchangeError {
     ExchangeFailure failure = ExchangeFailure::Connect;
     bool mayHaveSentBytes = false;
-    /** On a connection kept open from before, which the peer may have been closing already. */
+    /** The connection was kept open from an earlier exchange, and the peer may already have been closing it. */
     bool onReusedConnection = false;
 };
 
-/** Lets another fiber end an exchange early. Not thread safe. */
+/** Cancels an exchange from another fiber. Not thread safe. */
 class ExchangeCancel
 {
 public:
-    /** Ends the exchange; it fails as Timeout. Does nothing when none is running. */
+    /** Cancels the exchange, which fails with Timeout. Has no effect if none is running. */
     void cancel();
 
 private:
@@ -51,30 +51,30 @@
     std::function<void()> hook_;
 };
 
-/** What one exchange allows. */
+/** Options of one exchange. */
 struct ExchangeOptions {
     Duration timeout = std::chrono::seconds(1);
-    /** Time for the body from the end of the headers on; zero: the body must come within @c allowed as well. */
+    /** Timeout of the body, from the end of the headers; zero: @c timeout covers the body as well. */
     Duration bodyTimeout = Duration(0);
     ExchangeCancel *cancel = nullptr;
     /**
-     * Longest that a kept-open connection may have been idle. The peer closes idle connections, and a request that
-     * crosses the close is lost without a word of whether it ran.
+     * Connections that were idle for longer are not reused. The peer closes idle connections, and if a request crosses
+     * the close, it is unknown whether the request ran.
      */
     Duration maxIdle = std::chrono::hours(1);
-    /** On a connection of its own, which is closed after the answer. */
+    /** Uses a new connection, which is closed after the response. */
     bool newConnection = false;
     /**
-     * False for an answer that belongs to another request: it is dropped and the next one on the connection is read.
-     * Empty: every answer is taken.
+     * Returns false for a response that belongs to another request. It is dropped, and the next response on the
+     * connection is read. Empty: every response is accepted.
      */
     std::function<bool(const HttpResponse &)> matchesRequest;
 };
 
 /**
- * HTTP/1.1 client with one pool of kept-open connections for each endpoint. Not thread safe.
- * A connection that saw a timeout, a cut, a cancellation or a surplus byte is never used again, so that a late
- * answer can't be taken for the answer to the next request.
+ * HTTP/1.1 client with a pool of kept-open connections for each endpoint. A connection is never reused after a timeout,
+ * a truncated response, a cancellation or a surplus byte, so that a late response can't be taken for the response to
+ * the next request. Not thread safe.
  */
 class HttpClient
 {
@@ -84,21 +84,21 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /** Sends @p request and returns the whole answer. @pre called from a fiber; @p timeout > 0. */
+    /** Sends @p request and returns the complete response. @pre called from a fiber; @p timeout > 0. */
     tl::expected<HttpResponse, ExchangeError> exchange(const Endpoint &endpoint, const HttpRequest &request,
                                                        Duration timeout, ExchangeCancel *cancel = nullptr);
     /**
-     * As above. The answer is read while the request is still being written, so that a peer which answers before it
-     * has read a long body is heard.
+     * As above. The response is read while the request is still being written, so that a response which the peer sends
+     * before it has read a long body is received.
      */
     tl::expected<HttpResponse, ExchangeError> exchange(const Endpoint &endpoint, const HttpRequest &request,
                                                        const ExchangeOptions &options);
-    /** True if something accepts connections at @p endpoint. @pre called from a fiber. */
+    /** True if a connection to @p endpoint can be opened within @p timeout. @pre called from a fiber. */
     bool acceptsConnections(const Endpoint &endpoint, Duration timeout);
     /**
-     * True if nobody listens at @p endpoint, or soon no more. A process that ends closes its connections before or
-     * after its listener, as it comes: asked only once, a death went unseen now and then on a busy VM, and the request
-     * that had caused it was given to a third server. @pre called from a fiber.
+     * True if no process listens at @p endpoint, or if it stops listening shortly after. An exiting process closes its
+     * connections before or after its listener, in no fixed order: with a single check, a crash was sometimes missed on
+     * a busy VM, and the request that caused it was sent to a third server. @pre called from a fiber.
      */
     bool hasStoppedListening(const Endpoint &endpoint);
     /** Closes kept-open connections to @p endpoint. */
