--- a/src/http/HttpConnection.cpp
+++ b/src/http/HttpConnection.cpp
@@ -17,20 +17,20 @@
 namespace {
 
 /**
- * Bytes read ahead of the request that is being worked on. Reading on is how a caller's leaving is noticed; a caller
- * that sends more than this without waiting for answers is simply not read.
+ * Bytes read ahead of the request in progress. Reading ahead detects that the caller closes the connection; a caller
+ * that sends more than this before it gets responses is not read any further.
  */
 constexpr std::size_t maxReadAhead = 64UL * 1024;
 /**
- * After a refusal what still comes in is read for so long and so much: closing a connection with unread bytes resets
- * it, and the reset may overtake the refusal.
+ * After a rejection, remaining input is read for this long and up to this size: closing a connection with unread bytes
+ * resets it, and the reset may overtake the response.
  */
 constexpr Millis lingerTime{500};
 constexpr std::size_t lingerBytes = 1024UL * 1024;
 constexpr unsigned badRequest = 400;
 constexpr unsigned tooLarge = 413;
 constexpr unsigned headersTooLarge = 431;
-/** For waits that an event ends. */
+/** For waits that only a notification ends. */
 constexpr Duration noTimeout = std::chrono::hours(1);
 
 SteadyTime now()
@@ -38,15 +38,15 @@
     return std::chrono::steady_clock::now();
 }
 
-/** Why a message that the parser takes must not be served; empty if it may be. */
-std::string framingError(const http::request<http::string_body> &message)
+/** Returns why a message that the parser accepts must not be served; empty if it may be. */
+std::string requestError(const http::request<http::string_body> &message)
 {
     const auto hosts = message.count(http::field::host);
     if (message.version() >= 11 && hosts != 1) {
         return hosts == 0 ? "no Host header" : "more than one Host header";
     }
     const auto codings = message.count(http::field::transfer_encoding);
-    // Where two readers differ about the end of a body, its rest is read as a request that no caller sent.
+    // If two parsers disagree about the end of a body, the rest of the body is read as a request that no caller sent.
     if (codings > 1 || (codings == 1 && !beast::iequals(message[http::field::transfer_encoding], "chunked"))) {
         return "Transfer-Encoding other than chunked";
     }
@@ -56,7 +56,10 @@
     return {};
 }
 
-/** Turns the absolute form of a target ("http://host/path") into the usual one. False if it is neither. */
+/**
+ * Converts the absolute form of a target ("http://host/path") to the origin form. Returns false if the target has
+ * neither form.
+ */
 bool toOriginForm(http::request<http::string_body> &message)
 {
     const std::string target(message.target());
@@ -105,7 +108,7 @@
     return message;
 }
 
-/** Methods that change nothing (RFC 9110): the only ones that callers pipeline. */
+/** Safe methods (RFC 9110): the only ones that callers pipeline. */
 bool isSafeMethod(const std::string &method)
 {
     return method == "GET" || method == "HEAD" || method == "OPTIONS";
@@ -226,10 +229,12 @@
 
 void HttpConnection::confirmContinue()
 {
-    static const std::string goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-    // An interim answer has its place in the order, too.
+    static const std::string continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+    // An interim response must keep the order of responses, too.
     if (awaitUntil([this] { return exchanges_.empty(); })) {
-        await([&](auto handle) { boost::asio::async_write(socket_, boost::asio::buffer(goOn), std::move(handle)); });
+        await([&](auto handle) {
+            boost::asio::async_write(socket_, boost::asio::buffer(continueResponse), std::move(handle));
+        });
     }
 }
 
@@ -251,7 +256,7 @@
         }
         if (parser.is_header_done() && !headerSeen) {
             headerSeen = true;
-            const std::string fault = framingError(parser.get());
+            const std::string fault = requestError(parser.get());
             if (!fault.empty() || !toOriginForm(parser.get())) {
                 reject(badRequest, fault.empty() ? "malformed target" : fault);
                 return std::nullopt;
@@ -272,7 +277,7 @@
     return ReadRequest{fromBeast(parser.release()), last};
 }
 
-void HttpConnection::begin(HttpRequest request)
+void HttpConnection::start(HttpRequest request)
 {
     const auto exchange = std::make_shared<Exchange>();
     exchange->watch = std::make_shared<CallerWatch>();
@@ -314,7 +319,7 @@
         const ExchangePtr exchange = exchanges_.front();
         if (!responsesDone_) {
             const bool last = isLastResponse(exchange->reply);
-            // Decided before the first byte goes out: no request is begun behind a closing response.
+            // Set before the first byte is sent: no request is started behind a closing response.
             requestsDone_ = requestsDone_ || last;
             responsesDone_ = !write(std::move(exchange->reply), !last) || last;
         }
@@ -338,11 +343,12 @@
         socket_.close(ignored);
         return false;
     }
-    const bool cut = reply.after == AfterResponse::TruncateBody;
+    const bool truncate = reply.after == AfterResponse::TruncateBody;
     const auto message = toBeast(std::move(reply), keepAlive);
     http::response_serializer<http::string_body> serializer(message);
     while (!serializer.is_done()) {
-        // Most answers fit into the socket at once, and then take neither a timer nor a turn of the loop.
+        // Most responses fit into the socket buffer at once, and then need neither a timer nor a turn of the event
+        // loop.
         beast::error_code error;
         http::write_some(socket_, serializer, error);
         if (error == boost::asio::error::would_block) {
@@ -352,12 +358,13 @@
             return false;
         }
     }
-    return !cut;
+    return !truncate;
 }
 
 boost::system::error_code HttpConnection::writeSome(Serializer &serializer)
 {
-    // A caller may take long for a large answer; it is given up when it takes nothing at all for so long.
+    // A caller may read a large response slowly. The connection is closed only if the caller reads nothing for this
+    // long.
     boost::asio::steady_timer timer(server_->ioContext, server_->limits.messageTimeout);
     timer.async_wait([self = shared_from_this()](boost::system::error_code error) {
         if (!error) {
@@ -386,12 +393,13 @@
         while (exclusive && !responsesDone_ && !exchanges_.empty()) {
             notifier_.wait(server_->ioContext, noTimeout);
         }
-        // Read, but behind a response that closes: it is not run, and its caller sends it again.
+        // This request was read, but follows a response that closes the connection: it is not run, and its caller sends
+        // it again.
         if (responsesDone_ || inputEnded_) {
             break;
         }
         requestsDone_ = read->last;
-        begin(std::move(read->request));
+        start(std::move(read->request));
         if (exclusive && !awaitUntil([this] { return exchanges_.empty(); })) {
             break;
         }
@@ -410,8 +418,8 @@
     discarding_ = true;
     input_.clear();
     const SteadyTime until = now() + lingerTime;
-    // What the caller sent behind the last answer is read and dropped: unread it would turn the close into a reset,
-    // which may destroy that answer on its way.
+    // Input behind the last response is read and dropped. Unread input would turn the close into a reset, which may
+    // destroy that response in transit.
     while (responsesDone_ && !inputEnded_ && discarded_ < lingerBytes && now() < until) {
         readAhead();
         notifier_.wait(server_->ioContext, until - now());
--- a/src/http/HttpConnection.h
+++ b/src/http/HttpConnection.h
@@ -15,77 +15,78 @@
 
 namespace waxwing {
 
-/** What all connections of one server share. */
+/** State shared by all connections of one server. */
 struct HttpShared {
     boost::asio::io_context &ioContext;
     HttpServer::Handler handler;
     HttpLimits limits;
     HttpServer::RejectHook onReject;
-    /** Requests that were read and not yet answered. */
+    /** Requests that were read and have no response yet. */
     std::size_t inFlight = 0;
     /** Each response closes its connection. */
     bool closing = false;
-    /** Connections without a request under way are closed. */
+    /** Connections without a request in progress are closed. */
     bool draining = false;
 };
 
 /**
- * One connection of an HttpServer. Requests that a caller sent without waiting for answers (pipelining) run side by
- * side, and their answers go out whole and in the order of the requests. A request whose method is not safe runs alone:
- * it begins when those before it are answered, and those behind it wait for its answer.
+ * One connection of an HttpServer. Requests that a caller sends without waiting for responses (pipelining) run
+ * concurrently, and their responses are sent complete and in the order of the requests. A request whose method is not
+ * safe runs alone: it starts after the requests before it have been answered, and the requests behind it wait for its
+ * response.
  *
- * A response that closes the connection is the last one: nothing behind it has been given to the handler. So a caller
- * that sends again what was behind a closing response never has it run twice. Not thread safe.
+ * A response that closes the connection is the last one: no request behind it has been given to the handler. A caller
+ * that resends the requests behind a closing response therefore never has them run twice. Not thread safe.
  */
 class HttpConnection : public std::enable_shared_from_this<HttpConnection>
 {
 public:
     HttpConnection(boost::asio::ip::tcp::socket socket, std::shared_ptr<HttpShared> server);
 
-    /** Serves until the connection has ended. @pre called from a fiber, once. */
+    /** Serves requests until the connection ends. @pre called from a fiber, once. */
     void serve();
-    /** The server drains: a connection that waits for its next request ends. */
+    /** Called when the server drains: a connection that waits for its next request closes. */
     void onDrain();
 
 private:
-    /** A request that was read, until its answer is written. */
+    /** A request that was read, until its response is written. */
     struct Exchange {
         CallerWatchPtr watch;
         HttpReply reply;
         bool done = false;
-        /** Bytes held for it. */
+        /** Bytes of its request or response body held in memory. */
         std::size_t bytes = 0;
     };
     struct ReadRequest {
         HttpRequest request;
-        /** The caller takes no answer after this one's. */
+        /** The caller expects no response after this request's. */
         bool last = false;
     };
     using ExchangePtr = std::shared_ptr<Exchange>;
     using Serializer = boost::beast::http::response_serializer<boost::beast::http::string_body>;
 
-    /** Reads on, unless a read is under way or enough was read ahead. */
+    /** Starts a read, unless one is in progress or enough is buffered. */
     void readAhead();
     void onInput(boost::system::error_code error, std::size_t bytes);
-    /** Nobody waits for answers any more: tells the handlers. */
+    /** Notifies the handlers that the caller no longer waits for responses. */
     void onCallerDisconnected();
-    /** Waits for more input until @p until. False if none will come, or not in time. */
+    /** Waits for more input until @p until. False if the input has ended or none arrives in time. */
     bool awaitInput(SteadyTime until);
-    /** Waits for the first byte of the next request. False if there is none to wait for. */
+    /** Waits for the first byte of the next request. False if no further request will be read. */
     bool awaitFirstByte();
-    /** Waits until @p ready. False if the connection takes no more requests. */
+    /** Waits until @p ready returns true. False if the connection takes no more requests. */
     bool awaitUntil(const std::function<bool()> &ready);
     std::optional<ReadRequest> readRequest();
     void confirmContinue();
-    /** Answers what can't be served, as the last answer of this connection. */
+    /** Sends an error as the last response of this connection. */
     void reject(unsigned status, const std::string &message);
-    void begin(HttpRequest request);
+    void start(HttpRequest request);
     void finish(const ExchangePtr &exchange, HttpReply reply);
-    /** Writes the answers that are next in order and ready. */
+    /** Writes the completed responses that are next in order. */
     void writeReady();
-    /** False if the connection broke. */
+    /** False if the connection failed. */
     bool write(HttpReply reply, bool keepAlive);
-    /** Writes a part when the caller takes it. */
+    /** Writes the next part of a response once the socket accepts it. */
     boost::system::error_code writeSome(Serializer &serializer);
     bool isLastResponse(const HttpReply &reply) const;
     bool takesRequests() const;
@@ -102,11 +103,11 @@
     std::size_t bytesHeld_ = 0;
     SteadyTime idleSince_;
     bool writing_ = false;
-    /** No further request is read: the caller said so, or one could not be read. */
+    /** No further request is read: the caller announced its last one, or a request could not be read. */
     bool requestsDone_ = false;
-    /** The last answer was written, or writing failed. */
+    /** The last response was written, or writing failed. */
     bool responsesDone_ = false;
-    /** Input is read only to be dropped, and how much was. */
+    /** Input is read only to be dropped, and this much was dropped. */
     bool discarding_ = false;
     std::size_t discarded_ = 0;
 };
