--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -19,13 +19,13 @@
 
 HttpLimits MakeHttpLimits(const NodeLimits &limits)
 {
-    HttpLimits made;
-    made.bodyBytes = limits.bodyBytes;
-    made.headerBytes = limits.headerBytes;
-    made.connections = limits.callerConnections;
-    made.pipelinedRequests = limits.pipelinedRequests;
-    made.pipelinedBytes = limits.pipelinedBytes;
-    return made;
+    HttpLimits result;
+    result.bodyBytes = limits.bodyBytes;
+    result.headerBytes = limits.headerBytes;
+    result.connections = limits.callerConnections;
+    result.pipelinedRequests = limits.pipelinedRequests;
+    result.pipelinedBytes = limits.pipelinedBytes;
+    return result;
 }
 
 struct HttpServer::State : std::enable_shared_from_this<HttpServer::State> {
@@ -50,7 +50,7 @@
             return;
         }
         if (accepted.error) {
-            // Out of descriptors: accepting again at once would spin until one is free.
+            // Out of file descriptors: accepting again at once would spin until one is free.
             sleepFor(shared->ioContext, acceptPause);
             continue;
         }
@@ -63,10 +63,10 @@
         boost::system::error_code ignored;
         socket.set_option(tcp::no_delay(true), ignored);
         open.push_back(std::make_shared<HttpConnection>(std::move(socket), shared));
-        spawnFiber([self = shared_from_this(), place = std::prev(open.end())] {
-            const std::shared_ptr<HttpConnection> connection = *place;
+        spawnFiber([self = shared_from_this(), position = std::prev(open.end())] {
+            const std::shared_ptr<HttpConnection> connection = *position;
             connection->serve();
-            self->open.erase(place);
+            self->open.erase(position);
         });
     }
 }
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -14,26 +14,26 @@
 
 namespace waxwing {
 
-/** Bounds on what one caller may make the server hold. */
+/** Limits on the resources that callers may use. */
 struct HttpLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 1024UL * 1024;
     std::size_t connections = 20000;
     /** How long a connection may wait for its next request. */
     Millis idleTimeout = std::chrono::seconds(60);
-    /** How long a request's headers may take from their first byte. */
+    /** Time limit of a request's headers, from their first byte. */
     Millis headerTimeout = std::chrono::seconds(15);
-    /** How long a body may take, and how long a caller may take nothing of its response. */
+    /** Time limit of a request's body, and how long a caller may read nothing of its response. */
     Millis messageTimeout = std::chrono::seconds(15);
-    /** Requests of one connection that are worked on at once, and the bytes of bodies held for them. */
+    /** Requests of one connection that run at once, and the bytes of bodies held for them. */
     std::uint32_t pipelinedRequests = 16;
     std::uint64_t pipelinedBytes = 1024UL * 1024;
 };
 
-/** The bounds that a node's settings name. Thread safe. */
+/** Returns the limits that a node's settings define. Thread safe. */
 HttpLimits MakeHttpLimits(const NodeLimits &limits);
 
-/** What a handler wants done with its connection after (or instead of) the response. */
+/** What happens to the connection after (or instead of) the response. */
 enum class AfterResponse {
     KeepOpen,
     Close,
@@ -48,7 +48,7 @@
     AfterResponse after = AfterResponse::KeepOpen;
 };
 
-/** Tells a handler that its caller closed the connection, so that nobody waits for the answer any more. */
+/** Notifies a handler that its caller closed the connection and no longer waits for the response. */
 struct CallerWatch {
     bool disconnected = false;
     /** Set by the handler, called at most once. */
@@ -58,16 +58,15 @@
 using CallerWatchPtr = std::shared_ptr<CallerWatch>;
 
 /**
- * An HTTP/1.1 server (Boost.Beast): one fiber for each connection, and one for each request under way, on the thread
- * of the io_context. Pipelined requests run side by side within HttpLimits::pipelinedRequests and pipelinedBytes; past
- * these the connection is not read.
- * Not thread safe.
+ * An HTTP/1.1 server (Boost.Beast) with one fiber for each connection and one for each request in progress, on the
+ * thread of the io_context. Pipelined requests run concurrently within HttpLimits::pipelinedRequests and
+ * pipelinedBytes; beyond these limits the connection is not read. Not thread safe.
  */
 class HttpServer
 {
 public:
     using Handler = std::function<HttpReply(HttpRequest request, const CallerWatchPtr &caller)>;
-    /** Called with a short reason for each message that was refused before it reached the handler. */
+    /** Called with a short reason for each message that was rejected before it reached the handler. */
     using RejectHook = std::function<void(const std::string &reason)>;
 
     /** Listens on @p address:@p port (0 picks a free one). Errors: Unavailable. */
@@ -82,11 +81,11 @@
     std::uint16_t port() const;
     std::size_t requestsInFlight() const;
     std::size_t connections() const;
-    /** Takes over other bounds; the next request of each connection is held to them. */
+    /** Replaces the limits; they apply from the next request of each connection on. */
     void setLimits(const HttpLimits &limits);
-    /** From now on each response says that its connection closes; new connections are still taken. */
+    /** From now on each response announces that its connection closes; new connections are still accepted. */
     void announceClose();
-    /** Takes no new connection and closes each kept-open one after the response it is working on. */
+    /** Accepts no new connection, and closes each kept-open one after the response in progress. */
     void drain();
 
 private:
