--- a/include/member/NodeRecord.h
+++ b/include/member/NodeRecord.h
@@ -11,15 +11,15 @@
 
 enum class NodeState : std::uint8_t {
     Up = 1,
-    /** Others found it gone; it may refute that. */
+    /** Other nodes got no reply from it; it may refute that. */
     Down = 2,
-    /** It left in good order. */
+    /** It shut down gracefully. */
     Left = 3,
 };
 
 const char *nodeStateName(NodeState state);
 
-/** What every node knows of every other one. */
+/** The replicated description of one node. */
 struct NodeRecord {
     NodeRef ref;
     std::string address;
@@ -28,13 +28,13 @@
     std::string zone;
     std::string region;
     NodeState state = NodeState::Up;
-    /** Services with announced servers here, and how many are in service. */
+    /** Services with announced servers at the node, and how many of these servers are in service. */
     std::map<std::string, std::uint32_t> services;
 };
 
-/** @p sequence orders the records of one incarnation. Thread safe. */
+/** Encodes @p node as a record. @p sequence orders the records of one incarnation. Thread safe. */
 Record toRecord(const NodeRecord &node, std::uint64_t sequence);
-/** Errors: Malformed. Thread safe. */
+/** Decodes a node record. Errors: Malformed. Thread safe. */
 Expected<NodeRecord> nodeFromRecord(const Record &record);
 
 } // namespace waxwing
--- a/include/member/Record.h
+++ b/include/member/Record.h
@@ -11,11 +11,11 @@
     Node = 1,
     Service = 2,
     Poison = 3,
-    /** Who holds the claims of an incarnation that stopped. */
+    /** The node that holds the claims of an incarnation that stopped. */
     Successor = 4,
 };
 
-/** Order among the versions of one record: the higher one is never replaced by the lower. */
+/** Orders the versions of one record. A higher version is never replaced by a lower one. */
 struct RecordVersion {
     std::uint64_t major = 0;
     std::uint64_t minor = 0;
@@ -24,12 +24,12 @@
     bool operator==(const RecordVersion &other) const;
 };
 
-/** One replicated fact. Every node ends with the highest version of each record. */
+/** One item of the replicated state. Every node converges to the highest version of each record. */
 struct Record {
     RecordKind kind = RecordKind::Node;
     std::string key;
     RecordVersion version;
-    /** CBOR of the kind's own type. */
+    /** CBOR of the type that belongs to the kind. */
     std::vector<std::uint8_t> payload;
 };
 
--- a/include/member/RecordTable.h
+++ b/include/member/RecordTable.h
@@ -19,8 +19,8 @@
 };
 
 /**
- * The replicated map of a node: the highest version seen of every record, with one hash for each bucket of keys,
- * so that two nodes find their differences by comparing a few hundred bytes. Not thread safe.
+ * A node's replica of all records: the highest version seen of each record, and one hash for each bucket of keys, so
+ * that two nodes find their differences by comparing a few hundred bytes. Not thread safe.
  */
 class RecordTable
 {
@@ -35,11 +35,11 @@
     /** @p onChange may be empty. */
     explicit RecordTable(ChangeHook onChange = {});
 
-    /** Takes @p record if its version is higher than the one held. Returns whether it was taken. */
+    /** Stores @p record if its version is higher than the stored one. Returns whether it was stored. */
     bool merge(const Record &record);
-    /** The record held, or null. Valid until the next merge or drop. */
+    /** Returns the stored record, or null. Valid until the next merge or drop. */
     const Record *find(RecordKind kind, const std::string &key) const;
-    /** Forgets a record locally, as for expired ones; a peer may offer it again. */
+    /** Removes a record locally, as for expired ones; a peer may send it again. */
     void drop(RecordKind kind, const std::string &key);
     std::vector<const Record *> all(RecordKind kind) const;
     /** Records of @p kind whose keys begin with @p prefix. */
@@ -49,11 +49,11 @@
     const BucketHashes &bucketHashes() const;
     /** Buckets whose hash differs from @p other's. */
     std::vector<std::uint32_t> differingBuckets(const BucketHashes &other) const;
-    /** Names of the records in @p bucket. @pre bucket < bucketCount. */
+    /** Keys and versions of the records in @p bucket. @pre bucket < bucketCount. */
     std::vector<RecordName> namesIn(std::uint32_t bucket) const;
     /** Records of @p bucket that are newer here than in @p theirs, or missing there. */
     std::vector<Record> newerThan(std::uint32_t bucket, const std::vector<RecordName> &theirs) const;
-    /** True if @p theirs names a record that is missing or older here. */
+    /** True if @p theirs lists a record that is missing or older here. */
     bool lacksAny(const std::vector<RecordName> &theirs) const;
 
 private:
--- a/include/member/Ring.h
+++ b/include/member/Ring.h
@@ -8,13 +8,13 @@
 namespace waxwing {
 
 /**
- * Whom a node talks to for gossip: with the nodes in order of a stable hash, the ones 1, 2, 4, 8 … places on.
- * So each keeps about log2(n) links, and news reaches all in about log2(n) / 2 steps, also with many links cut.
- * Thread safe: a value.
+ * Returns the gossip partners of @p self: with all nodes sorted by a stable hash, those at the distances 1, 2, 4, 8 …
+ * from it. Each node has about log2(n) partners, and an update reaches all nodes in about log2(n) / 2 steps, even if
+ * many links are down. Thread safe.
  */
 std::vector<std::string> gossipPartners(const std::string &self, const std::vector<std::string> &members);
 
-/** The @p count members that come first in an order which every node computes alike. Thread safe. */
+/** Returns the first @p count members in an order that is the same on every node. Thread safe. */
 std::vector<std::string> firstByHash(const std::string &topic, const std::vector<std::string> &members,
                                      std::size_t count);
 
--- a/src/member/RecordTable.cpp
+++ b/src/member/RecordTable.cpp
@@ -35,18 +35,18 @@
 {
     const Id id(record.kind, record.key);
     const std::uint32_t bucket = bucketOf(id);
-    const auto [place, isNew] = records_.try_emplace(id, record);
-    if (!isNew) {
-        if (!(place->second.version < record.version)) {
+    const auto [it, inserted] = records_.try_emplace(id, record);
+    if (!inserted) {
+        if (!(it->second.version < record.version)) {
             return false;
         }
-        hashes_[bucket] ^= hashOf(place->second);
-        place->second = record;
+        hashes_[bucket] ^= hashOf(it->second);
+        it->second = record;
     }
     hashes_[bucket] ^= hashOf(record);
     buckets_[bucket][id] = record.version;
     if (onChange_) {
-        // The hook may merge again and so move the stored record: it gets the caller's.
+        // The hook may call merge() and replace the stored record, so it gets the caller's copy.
         onChange_(record);
     }
     return true;
@@ -121,14 +121,14 @@
 
 std::vector<Record> RecordTable::newerThan(std::uint32_t bucket, const std::vector<RecordName> &theirs) const
 {
-    std::map<Id, RecordVersion> known;
+    std::map<Id, RecordVersion> theirVersions;
     for (const RecordName &name : theirs) {
-        known[Id(name.kind, name.key)] = name.version;
+        theirVersions[Id(name.kind, name.key)] = name.version;
     }
     std::vector<Record> newer;
     for (const auto &[id, version] : buckets_[bucket]) {
-        const auto found = known.find(id);
-        if (found == known.end() || found->second < version) {
+        const auto found = theirVersions.find(id);
+        if (found == theirVersions.end() || found->second < version) {
             newer.push_back(records_.at(id));
         }
     }
