--- a/include/base/Clock.h
+++ b/include/base/Clock.h
@@ -9,14 +9,14 @@
 using Duration = std::chrono::steady_clock::duration;
 using Millis = std::chrono::milliseconds;
 
-/** Source of time. Decisions read time only through this interface, so that tests can drive it. */
+/** Source of time. All decisions read the time through this interface, so that tests can control it. */
 class Clock
 {
 public:
     virtual ~Clock() = default;
-    /** Monotonic time that also counts while the VM is suspended; never goes back. Thread safe. */
+    /** Monotonic time that includes the time for which the VM is suspended; never goes back. Thread safe. */
     virtual SteadyTime now() const = 0;
-    /** Wall time for reports and tickets; may jump. Thread safe. */
+    /** Wall-clock time for reports and tickets; may jump. Thread safe. */
     virtual WallTime wallNow() const = 0;
 };
 
--- a/include/base/DurationText.h
+++ b/include/base/DurationText.h
@@ -7,9 +7,9 @@
 
 namespace waxwing {
 
-/** Reads "250ms", "3s", "10m" or "1h". Errors: Malformed. Thread safe. */
+/** Parses "250ms", "3s", "10m" or "1h". Errors: Malformed. Thread safe. */
 Expected<Millis> parseDuration(const std::string &text);
-/** Writes a duration in the largest unit that divides it. Thread safe. */
+/** Formats a duration in the largest unit that divides it. Thread safe. */
 std::string durationText(Millis value);
 
 } // namespace waxwing
--- a/include/base/Error.h
+++ b/include/base/Error.h
@@ -15,10 +15,10 @@
     Internal,
 };
 
-/** Name of @p code as it stands in logs and JSON. Thread safe. */
+/** Returns the name of @p code that logs and JSON use. Thread safe. */
 const char *errorCodeName(ErrorCode code);
 
-/** What went wrong and where. */
+/** An error code with a description. */
 struct Error {
     ErrorCode code = ErrorCode::Internal;
     std::string message;
@@ -27,7 +27,7 @@
 template<typename T>
 using Expected = tl::expected<T, Error>;
 
-/** Shorthand for a failed Expected. Thread safe. */
+/** Returns a failed Expected. Thread safe. */
 tl::unexpected<Error> fail(ErrorCode code, std::string message);
 
 } // namespace waxwing
--- a/include/base/HttpMessage.h
+++ b/include/base/HttpMessage.h
@@ -9,7 +9,7 @@
 
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/** A whole HTTP request, apart from any connection. */
+/** A complete HTTP request, independent of a connection. */
 struct HttpRequest {
     std::string method = "GET";
     std::string target = "/";
@@ -17,18 +17,18 @@
     std::string body;
 };
 
-/** A whole HTTP response, apart from any connection. */
+/** A complete HTTP response, independent of a connection. */
 struct HttpResponse {
     unsigned status = 200;
     HeaderList headers;
     std::string body;
 };
 
-/** The first value of @p name (case-insensitive), or an empty view. Thread safe. */
+/** Returns the first value of @p name (case-insensitive), or an empty view. Thread safe. */
 std::string_view headerValue(const HeaderList &headers, std::string_view name);
-/** True for the headers that concern one connection only and are never passed on. Thread safe. */
+/** True for headers that apply to one connection only and are never forwarded. Thread safe. */
 bool isHopByHop(std::string_view name);
-/** A JSON response. Thread safe. */
+/** Returns a response with a JSON body. Thread safe. */
 HttpResponse jsonResponse(unsigned status, std::string body);
 
 } // namespace waxwing
--- a/include/base/Ids.h
+++ b/include/base/Ids.h
@@ -5,7 +5,7 @@
 
 namespace waxwing {
 
-/** A node and the one run of its process: a restarted node has another incarnation. */
+/** A node and one run of its process: a restarted node has a new incarnation. */
 struct NodeRef {
     std::string id;
     std::uint64_t incarnation = 0;
@@ -17,9 +17,9 @@
     bool operator<(const NodeRef &other) const;
 };
 
-/** Stable 64-bit hash of @p text: the same on every node and build. Thread safe. */
+/** Returns a 64-bit hash of @p text that is the same on every node and build. Thread safe. */
 std::uint64_t stableHash(const std::string &text, std::uint64_t seed = 0);
-/** @p value as lower-case hexadecimal without leading zeros. Thread safe. */
+/** Returns @p value as lower-case hexadecimal without leading zeros. Thread safe. */
 std::string hexText(std::uint64_t value);
 /** True if @p text is 1 to 63 characters of a-z, A-Z, 0-9, '-', '_' and '.', so that it is safe in paths and logs. */
 bool isValidName(const std::string &text);
--- a/include/base/Metrics.h
+++ b/include/base/Metrics.h
@@ -17,14 +17,14 @@
     ~Metrics();
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
-    /** Adds @p by to the counter @p name, made at first use. */
+    /** Adds @p by to the counter @p name, which is created at first use. */
     void count(const std::string &name, std::uint64_t by = 1);
-    /** Adds a sample to the distribution @p name, made at first use. */
+    /** Adds a sample to the distribution @p name, which is created at first use. */
     void observe(const std::string &name, Duration value);
     std::uint64_t counter(const std::string &name) const;
-    /** Every metric as one JSON document; latencies in milliseconds. */
+    /** All metrics as one JSON document; latencies in milliseconds. */
     std::string json() const;
-    /** Every metric in the text format of Prometheus; latencies in seconds. */
+    /** All metrics in the text format of Prometheus; latencies in seconds. */
     std::string text() const;
 
 private:
--- a/src/base/Clock.cpp
+++ b/src/base/Clock.cpp
@@ -6,8 +6,8 @@
 
 SteadyTime SystemClock::now() const
 {
-    // The boot clock counts the time for which the VM was suspended. By the steady clock a node that wakes would
-    // believe deadlines and leases that ended long ago for everybody else.
+    // CLOCK_BOOTTIME includes the time for which the VM was suspended. With the steady clock, a resumed node would
+    // still honor deadlines and leases that expired long ago for all other nodes.
     timespec time{};
     clock_gettime(CLOCK_BOOTTIME, &time);
     return SteadyTime(std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec));
