--- a/src/base/CrashLog.cpp
+++ b/src/base/CrashLog.cpp
@@ -10,21 +10,21 @@
 
 #include <unistd.h>
 
-/** Where the program begins in memory; set by the linker. */
+/** Start address of the program in memory; set by the linker. */
 extern "C" const char __executable_start; // NOLINT(bugprone-reserved-identifier)
 
 namespace waxwing {
 
 namespace {
 
-/** A fault may be that of a full stack, so its handler has its own. */
+/** The handler has its own stack, because the fault may be a stack overflow. */
 constexpr std::size_t handlerStackBytes = 64UL * 1024;
 constexpr std::size_t maxFrames = 48;
 constexpr std::size_t maxLineBytes = 1200;
 
 std::array<char, handlerStackBytes> handlerStack;
 
-/** A line in a buffer of fixed size: nothing here may allocate. */
+/** A line in a fixed-size buffer: a signal handler must not allocate. */
 class FixedLine
 {
 public:
@@ -91,7 +91,7 @@
 {
     const auto address = info == nullptr ? 0 : reinterpret_cast<std::uint64_t>(info->si_addr);
     writeCrash(signal == SIGABRT ? "abort" : "fault", signal, signal == SIGABRT ? 0 : address);
-    // The handler was reset on entry: the process ends by the same signal.
+    // SA_RESETHAND restored the default handler: the process ends with the same signal.
     raise(signal);
 }
 
--- a/src/base/CrashLog.h
+++ b/src/base/CrashLog.h
@@ -3,9 +3,9 @@
 namespace waxwing {
 
 /**
- * Writes one line to standard output, "event=process_crashed" with the signal and the stack, when the process ends by a
- * fault, an abort or an exception that nobody catches; then it ends as it would have. The stack is given as offsets in
- * the program, for addr2line. Call once, at the start of main.
+ * When the process ends by a fault, an abort or an uncaught exception, writes one line to standard output,
+ * "event=process_crashed" with the signal and the stack; the process then ends as it would without this. The stack is
+ * given as offsets in the program, for addr2line. Call once, at the start of main.
  */
 void installCrashLog();
 
