--- a/include/base/EventLog.h
+++ b/include/base/EventLog.h
@@ -25,23 +25,23 @@
     std::string name;
     std::vector<EventField> fields;
 
-    /** The event as one line of key=value pairs; values with blanks are quoted. */
+    /** The event as one line of key=value pairs; values with spaces are quoted. */
     std::string line() const;
 };
 
-/** How much is logged about single requests. */
+/** Rate limit of events about single requests. */
 struct RequestLogTuning {
-    /** Lines a second that are kept up; a request takes about four. */
+    /** Sustained lines per second; a request takes about four. */
     double linesPerSecond = 400.0;
-    /** Lines that may come at once after quiet. */
+    /** Lines allowed in a burst. */
     double burst = 4000.0;
 };
 
 /**
- * Writes each event as one key=value line through log4cxx and keeps the newest ones in memory, so that
- * "explain" can answer why a decision was taken. Events that change what the node believes are always written; those
- * about single requests are bounded, and how many were left out is written each time some were. Not thread safe:
- * belongs to the node's thread.
+ * Writes each event as one key=value line through log4cxx and keeps the newest events in memory, so that "explain" can
+ * show why a decision was made. Events that report a change in the node's view of the fleet are always written. Events
+ * about single requests are rate limited, and the number of dropped ones is logged. Not thread safe: belongs to the
+ * node's thread.
  */
 class EventLog
 {
@@ -50,15 +50,15 @@
 
     /** @pre @p clock outlives the log. */
     explicit EventLog(const Clock &clock, std::size_t capacity = defaultCapacity, RequestLogTuning tuning = {});
-    /** Records an event; the oldest is dropped at capacity. */
+    /** Writes an event; at capacity the oldest one is removed from memory. */
     void write(Severity severity, std::string name, std::vector<EventField> fields);
-    /** Records a decision about one request, if the bound allows it. Failures go before the rest: half of the bound. */
+    /** Writes an event about one request, if the rate limit allows it. Half of the burst is reserved for failures. */
     void writeRequest(Severity severity, std::string name, std::vector<EventField> fields);
-    /** Hands buffered lines over and says how many were left out. Call about five times a second. */
+    /** Flushes buffered lines and logs how many were dropped. Call about five times a second. */
     void flush();
-    /** Events in which some field's value equals @p subject, oldest first. */
+    /** Returns the events in which a field's value equals @p subject, oldest first. */
     std::vector<Event> matching(const std::string &subject) const;
-    /** The newest @p count events, oldest first. */
+    /** Returns the newest @p count events, oldest first. */
     std::vector<Event> newest(std::size_t count) const;
 
 private:
@@ -73,7 +73,7 @@
 
 /** Sends log lines to standard output through a LineWriter. Call once, before the first event. */
 void setUpLogging();
-/** Hands over what the log still holds, for the end of the process. */
+/** Flushes buffered log lines; called at the end of the process. */
 void flushLogging();
 
 } // namespace waxwing
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -37,20 +37,20 @@
     return out + "\"";
 }
 
-/** The process's lines on their way to standard output. */
+/** Buffers the process's log lines for standard output. */
 LineWriter &standardOutput()
 {
-    static LineWriter pipe(nonBlockingSink(STDOUT_FILENO));
-    return pipe;
+    static LineWriter writer(nonBlockingSink(STDOUT_FILENO));
+    return writer;
 }
 
-/** Flushed as soon as so much waits, so that a burst does not fill the pipe's buffer between two flushes. */
+/** Buffered bytes that trigger a flush, so that a burst does not fill the pipe's buffer between two flushes. */
 constexpr std::size_t flushThreshold = 16UL * 1024;
 
-// The macros of log4cxx name its namespaces without their parent.
+// log4cxx's macros refer to this namespace without its parent.
 namespace helpers = log4cxx::helpers;
 
-/** Hands log4cxx's lines to a LineWriter: its own appenders block while nobody reads. */
+/** Passes log4cxx's lines to a LineWriter: log4cxx's own appenders block while nobody reads the output. */
 class PipeAppender final : public log4cxx::AppenderSkeleton
 {
 public:
@@ -82,7 +82,7 @@
     }
 };
 
-// As IMPLEMENT_LOG4CXX_OBJECT, which can't stand inside a namespace.
+// Replaces IMPLEMENT_LOG4CXX_OBJECT, which can't be used inside a namespace.
 const helpers::Class &PipeAppender::getClass() const
 {
     return getStaticClass();
@@ -116,7 +116,7 @@
 void EventLog::writeRequest(Severity severity, std::string name, std::vector<EventField> fields)
 {
     const SteadyTime now = clock_.now();
-    // Below half of the burst only what went wrong is written: that is what somebody will ask about.
+    // The lower half of the burst is reserved for failures, which operators are most likely to ask about.
     const double needed = severity == Severity::Info ? failureReserve_ : 1.0;
     if (!requestLines_.tryTakeAbove(1.0, needed, now)) {
         ++droppedRequestLines_;
