--- a/include/base/LineWriter.h
+++ b/include/base/LineWriter.h
@@ -9,25 +9,25 @@
 namespace waxwing {
 
 /**
- * Lines on their way to a file descriptor whose reader may be slow or stuck. A reader of standard output that stops
- * reading would block a plain write, and with it every request; here lines wait in a bounded buffer, and what does not
- * fit is counted and left out. Not thread safe.
+ * Buffers lines for a file descriptor whose reader may be slow or stuck. If the reader of standard output stops
+ * reading, a plain write would block, and with it every request. Here lines wait in a bounded buffer, and lines that do
+ * not fit are dropped and counted. Not thread safe.
  */
 class LineWriter
 {
 public:
-    /** Writes at most this many bytes without blocking: returns how many were taken, 0 if none can be. */
+    /** Writes at most @p size bytes without blocking. Returns how many were written, 0 if none can be. */
     using Sink = std::function<std::size_t(const char *data, std::size_t size)>;
 
-    /** Holds a second of the fastest logging in use; a reader that stalls for longer loses lines. */
+    /** Holds one second of the fastest logging in use; lines are dropped if the reader stalls for longer. */
     static constexpr std::size_t defaultCapacity = 256UL * 1024;
 
     explicit LineWriter(Sink sink, std::size_t capacity = defaultCapacity);
-    /** Adds @p line and a newline; false if it was left out for want of room. */
+    /** Adds @p line and a newline; false if the buffer is full and the line was dropped. */
     bool add(const std::string &line);
-    /** Hands over as much as the sink takes. */
+    /** Writes as much as the sink accepts. */
     void flush();
-    /** Lines left out since the start. */
+    /** Lines dropped since the start. */
     std::uint64_t droppedLines() const;
     std::size_t pending() const;
 
@@ -38,7 +38,10 @@
     std::uint64_t droppedLines_ = 0;
 };
 
-/** A sink for @p descriptor that never blocks: asks first, and writes no more than a pipe takes whole. Thread safe. */
+/**
+ * Returns a sink for @p descriptor that never blocks: it polls first, and writes no more than a pipe accepts at once.
+ * Thread safe.
+ */
 LineWriter::Sink nonBlockingSink(int descriptor);
 
 } // namespace waxwing
--- a/src/base/LineWriter.cpp
+++ b/src/base/LineWriter.cpp
@@ -50,8 +50,8 @@
 {
     return [descriptor](const char *data, std::size_t size) -> std::size_t {
         pollfd ready{descriptor, POLLOUT, 0};
-        // A pipe that polls as writable takes PIPE_BUF bytes at once. O_NONBLOCK would be a property of the open file
-        // and change it for every process that shares it.
+        // A pipe that polls as writable accepts PIPE_BUF bytes at once. O_NONBLOCK would apply to the open file
+        // description, and so to every process that shares it.
         if (poll(&ready, 1, 0) <= 0 || (ready.revents & POLLOUT) == 0) {
             return 0;
         }
