--- a/include/base/Findings.h
+++ b/include/base/Findings.h
@@ -5,23 +5,23 @@
 
 namespace waxwing {
 
-/** One fault in a document: its place (file:line or JSON pointer) and what is wrong there. */
+/** One error in a document: its place (file:line or JSON pointer) and a description. */
 struct Finding {
     std::string place;
     std::string message;
 };
 
-/** Collects every fault of a document, so that an operator sees all of them at once. Not thread safe. */
+/** Collects all errors of a document, so that an operator sees all of them at once. Not thread safe. */
 class Findings
 {
 public:
-    /** Adds a fault at @p place. */
+    /** Adds an error at @p place. */
     void add(std::string place, std::string message);
-    /** Adds all faults of @p other, each place prefixed by @p prefix. */
+    /** Adds all errors of @p other, with @p prefix before each place. */
     void addAll(const Findings &other, const std::string &prefix = {});
     bool empty() const;
     const std::vector<Finding> &all() const;
-    /** One "place: message" line for each fault. */
+    /** One "place: message" line for each error. */
     std::string text() const;
 
 private:
--- a/include/base/JsonReader.h
+++ b/include/base/JsonReader.h
@@ -12,27 +12,27 @@
 namespace waxwing {
 
 /**
- * Reads the fields of one JSON object and collects a finding, with its JSON pointer, for each missing, mistyped,
- * out-of-range or unknown one. Not thread safe. The object and the findings must outlive the reader.
+ * Reads the fields of one JSON object. Adds a finding, with its JSON pointer, for each missing, mistyped, out-of-range
+ * or unknown field. Not thread safe. The object and the findings must outlive the reader.
  */
 class JsonReader
 {
 public:
-    /** @pre none: a value that is no object is itself a finding. */
+    /** A @p value that is not an object is itself a finding. */
     JsonReader(const nlohmann::json &value, std::string place, Findings &findings);
 
     bool has(const std::string &key) const;
-    /** Each of these returns @p fallback, and adds a finding, when the field is there but wrong. */
+    /** Each of these returns @p fallback if the field is missing; also, and adds a finding, if its value is invalid. */
     std::string text(const std::string &key, const std::string &fallback);
     std::string requiredText(const std::string &key);
     bool boolean(const std::string &key, bool fallback);
     std::int64_t integer(const std::string &key, std::int64_t fallback, std::int64_t min, std::int64_t max);
     Millis duration(const std::string &key, Millis fallback, Millis min, Millis max);
-    /** A share such as "99.9%" as a fraction of one. */
+    /** A percentage such as "99.9%", as a fraction of 1. */
     double percentage(const std::string &key, double fallback);
-    /** The nested value, or null; counts as read. */
+    /** Returns the nested value, or null, and marks it as read. */
     const nlohmann::json &child(const std::string &key);
-    /** JSON pointer of the field @p key. */
+    /** Returns the JSON pointer of the field @p key. */
     std::string placeOf(const std::string &key) const;
     /** Adds a finding for each field that was never read. Call last. */
     void rejectUnknown();
@@ -46,9 +46,9 @@
     std::set<std::string> read_;
 };
 
-/** Parses JSON with comments; a syntax error becomes a finding at line:column of @p source. */
+/** Parses JSON with comments. A syntax error becomes a finding at line:column of @p source. */
 nlohmann::json parseJsonWithComments(const std::string &text, const std::string &source, Findings &findings);
-/** Reads "99.9%" as 0.999. Errors: Malformed unless between 0% and 100%. Thread safe. */
+/** Parses "99.9%" as 0.999. Errors: Malformed unless from 0% to 100%. Thread safe. */
 Expected<double> parsePercentage(const std::string &text);
 
 } // namespace waxwing
