--- a/include/kernel/Kernel.h
+++ b/include/kernel/Kernel.h
@@ -11,13 +11,14 @@
 namespace waxwing {
 
 /**
- * The micro-kernel: holds services by name and stops them in reverse order of their start.
- * Not thread safe: the node's thread only.
+ * The micro-kernel: holds the services of one process by name, and stops them in reverse order of their start. Not
+ * thread safe: the node's thread only.
  */
 class Kernel
 {
 public:
-    /** Registers @p service under @p name. Errors: Conflict if the name is taken. @pre @p service outlives the kernel.
+    /**
+     * Registers @p service under @p name. Errors: Conflict if the name is taken. @pre @p service outlives the kernel.
      */
     template<typename T>
     Expected<void> provide(const std::string &name, T &service)
@@ -25,7 +26,7 @@
         return provideAny(name, std::any(&service));
     }
 
-    /** The service of that name and type. Errors: NotFound; Malformed if its type differs. */
+    /** Returns the service of that name and type. Errors: NotFound; Malformed if its type differs. */
     template<typename T>
     Expected<T *> find(const std::string &name) const
     {
@@ -40,9 +41,9 @@
         return *service;
     }
 
-    /** Adds a step of the graceful stop; steps run last added first. */
+    /** Adds a step of the graceful shutdown; steps run in reverse order. */
     void onStop(std::function<void()> step);
-    /** Runs the stop steps once. */
+    /** Runs each shutdown step once. */
     void stop();
 
 private:
