--- a/include/settings/NodeSettings.h
+++ b/include/settings/NodeSettings.h
@@ -10,7 +10,7 @@
 
 namespace waxwing {
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 struct Endpoint {
     std::string address;
     std::uint16_t port = 0;
@@ -20,29 +20,32 @@
     bool operator==(const Endpoint &other) const;
 };
 
-/** Reads "127.0.0.1:8080"; a fault is a finding at @p place. Thread safe. */
+/** Parses "127.0.0.1:8080"; an error becomes a finding at @p place. Thread safe. */
 Endpoint parseEndpoint(const std::string &text, const std::string &place, Findings &findings);
 
-/** Settings that a running node takes over at SIGHUP. */
+/** Limits. A running node reloads them at SIGHUP. */
 struct NodeLimits {
     std::uint64_t bodyBytes = 1024UL * 1024;
     std::uint32_t headerBytes = 16 * 1024;
     std::uint32_t callerConnections = 20000;
-    /** Requests that one connection may send ahead of their answers, and the bytes of bodies held for them. */
+    /** Requests that one connection may pipeline, and the bytes of bodies held for them. */
     std::uint32_t pipelinedRequests = 16;
     std::uint64_t pipelinedBytes = 1024UL * 1024;
     std::uint32_t queuePerClass = 64;
     std::uint32_t claims = 60000;
     std::uint64_t claimAnswerBytes = 32UL * 1024 * 1024;
-    /** Callers' own keys that the whole fleet may write to the object API each second; a node takes its share. */
+    /**
+     * Idempotency keys chosen by callers that the whole fleet may write to the object API each second; each node gets
+     * its share.
+     */
     std::uint32_t fleetKeyWritesPerSecond = 100;
-    /** Calls for pledges that the whole fleet may make each second; a node takes its share. */
+    /** Object API calls for pledges that the whole fleet may make each second; each node gets its share. */
     std::uint32_t fleetPledgeCallsPerSecond = 200;
-    /** Bytes of requests and answers each second that this node may move between regions. */
+    /** Bytes of requests and responses that this node may transfer between regions each second. */
     std::uint64_t regionBytesPerSecond = 8UL * 1024 * 1024;
 };
 
-/** Times of the control protocols. */
+/** Intervals and timeouts of the control protocols. */
 struct NodeTimes {
     Millis ticketValidity = std::chrono::minutes(20);
     Millis announceTimeout = std::chrono::seconds(2);
@@ -61,7 +64,7 @@
     Endpoint address;
 };
 
-/** What a node learns from its settings file: its own place in the world, and nothing about servers. */
+/** The contents of a node's settings file: the node's own location and endpoints, but no list of backend servers. */
 struct NodeSettings {
     std::string node;
     std::string zone;
@@ -69,24 +72,30 @@
     Endpoint callers;
     Endpoint peers;
     Endpoint operators;
-    /** Where other nodes reach the peer port, if that differs from where it listens. */
+    /** Endpoint at which other nodes reach the peer port, if it differs from the listening endpoint. */
     Endpoint advertisedPeers;
     Endpoint objectApi;
-    /** Set on platforms where each VM has one server and one node, and the node is the way to and from it. */
+    /**
+     * Set on platforms where each VM has one server and one node, and all requests to and from the server pass through
+     * the node.
+     */
     std::optional<LocalServer> server;
-    /** Where the platform asks whether this node takes callers. @pre set if there is a local server. */
+    /**
+     * Endpoint of the platform's readiness checks, which tell whether this node accepts callers. @pre set if there is a
+     * local server.
+     */
     Endpoint readiness;
-    /** Where counters are served as text; port 0: nowhere. */
+    /** Endpoint that serves the metrics as text; port 0: disabled. */
     Endpoint metrics;
-    /** JSON text of the figures that bind the fleet on its platform; empty: none are known. */
+    /** JSON text of the platform's limits on the whole fleet; empty: unknown. */
     std::string bounds;
-    /** Peer endpoints of some nodes, to join through while the object API is away. */
+    /** Peer endpoints of some nodes, for joining while the object API is unavailable. */
     std::vector<Endpoint> seeds;
     NodeLimits limits;
     NodeTimes times;
 };
 
-/** Reads and checks a settings document as a whole; each fault is a finding with its place. Thread safe. */
+/** Parses and validates a settings document; each error is a finding with its place. Thread safe. */
 NodeSettings parseNodeSettings(const std::string &text, const std::string &source, Findings &findings);
 
 } // namespace waxwing
--- a/src/settings/NodeSettings.cpp
+++ b/src/settings/NodeSettings.cpp
@@ -44,8 +44,8 @@
         settings.metrics = requiredEndpoint(reader, "metrics", findings);
     }
     reader.rejectUnknown();
-    const bool ports = settings.callers.port != 0 && settings.callers == settings.operators;
-    if (ports || (settings.peers.port != 0 && settings.callers == settings.peers)
+    const bool sameAsOperators = settings.callers.port != 0 && settings.callers == settings.operators;
+    if (sameAsOperators || (settings.peers.port != 0 && settings.callers == settings.peers)
         || (settings.peers.port != 0 && settings.operators == settings.peers)) {
         findings.add("/listen", "callers, peers and operators must differ");
     }
