--- a/tests/unit/LinkTest.cpp
+++ b/tests/unit/LinkTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Both ends of a link; frames lie in queues until they are delivered. */
+/** Both ends of a link; frames are queued until they are delivered. */
 struct TwoEnds {
     bool send(Message message)
     {
@@ -21,7 +21,7 @@
         });
     }
 
-    /** Delivers one frame to the sender, and unless @p silent its acknowledgement back. */
+    /** Delivers one frame to the sender and, unless @p silent, its acknowledgements to the home. */
     std::optional<Message> deliver(bool silent = false)
     {
         const std::string frame = toSender.front();
@@ -62,51 +62,51 @@
     std::deque<std::string> toSender;
 };
 
-constexpr Duration near = std::chrono::milliseconds(150);
+constexpr Duration minTimeout = std::chrono::milliseconds(150);
 
 } // namespace
 
-TEST_CASE_FIXTURE(TwoEnds, "link framer, a small message behind large answers, waits for a few parts only")
+TEST_CASE_FIXTURE(TwoEnds, "link framer, small message behind large responses, waits for a few chunks only")
 {
-    // A receipt waited behind whole benchmark packs on a 13 Mbit/s link, came 200 ms late, and a path that only was
-    // busy was taken for broken.
+    // Guards against an acknowledgement that waits behind whole large responses: on a 13 Mbit/s link it arrived 200 ms
+    // late, and a path that was only busy was treated as failed.
     REQUIRE(send(replyOf(1, 200000)));
     REQUIRE(send(replyOf(2, 200000)));
     REQUIRE(send(WorkAck{3, {}}));
-    std::size_t before = 0;
+    std::size_t bytesBefore = 0;
     while (true) {
-        before += toSender.front().size();
+        bytesBefore += toSender.front().size();
         const std::optional<Message> message = deliver(true);
         if (message) {
             CHECK(std::holds_alternative<WorkAck>(*message));
             break;
         }
     }
-    CHECK(before < 64UL * 1024);
+    CHECK(bytesBefore < 64UL * 1024);
 }
 
-TEST_CASE_FIXTURE(TwoEnds, "link framer, large answers, arrive whole and in the order in which they were sent")
+TEST_CASE_FIXTURE(TwoEnds, "link framer, large responses, arrive complete and in sending order")
 {
     const std::vector<std::size_t> sizes = {0, 1, 16384, 16385, 32768, 90000, 540000};
     for (std::size_t i = 0; i < sizes.size(); ++i) {
         REQUIRE(send(replyOf(i, sizes[i])));
     }
-    std::map<std::uint64_t, WorkReply> came;
+    std::map<std::uint64_t, WorkReply> received;
     while (!toSender.empty()) {
         if (const std::optional<Message> message = deliver()) {
             const auto *reply = std::get_if<WorkReply>(&*message);
             REQUIRE(reply != nullptr);
-            came[reply->id] = *reply;
+            received[reply->id] = *reply;
         }
     }
     for (std::size_t i = 0; i < sizes.size(); ++i) {
-        CHECK(came[i].response.status == 206);
-        CHECK(came[i].response.body == replyOf(i, sizes[i]).response.body);
+        CHECK(received[i].response.status == 206);
+        CHECK(received[i].response.body == replyOf(i, sizes[i]).response.body);
     }
     CHECK(home.queuedBytes() == 0);
 }
 
-TEST_CASE_FIXTURE(TwoEnds, "link framer, an end that acknowledges nothing, holds back all but a few parts")
+TEST_CASE_FIXTURE(TwoEnds, "link framer, peer that acknowledges nothing, is sent a few chunks only")
 {
     REQUIRE(send(replyOf(1, 500000)));
     std::size_t sent = 0;
@@ -117,74 +117,75 @@
     CHECK(home.queuedBytes() > 400000);
 }
 
-TEST_CASE_FIXTURE(TwoEnds, "link framer, frames that no peer writes, are malformed")
+TEST_CASE_FIXTURE(TwoEnds, "link framer, invalid frames, are malformed")
 {
-    const auto nothing = [](const std::string &) { return true; };
-    CHECK_FALSE(sender.receive("", nothing).has_value());
-    CHECK_FALSE(sender.receive("\x09", nothing).has_value());
-    CHECK_FALSE(sender.receive("\x03", nothing).has_value());
-    CHECK_FALSE(sender.receive(std::string(1, '\0') + "garbage", nothing).has_value());
+    const auto discardFrame = [](const std::string &) { return true; };
+    CHECK_FALSE(sender.receive("", discardFrame).has_value());
+    CHECK_FALSE(sender.receive("\x09", discardFrame).has_value());
+    CHECK_FALSE(sender.receive("\x03", discardFrame).has_value());
+    CHECK_FALSE(sender.receive(std::string(1, '\0') + "garbage", discardFrame).has_value());
 }
 
-TEST_CASE_FIXTURE(TwoEnds, "link framer, parts without end, are refused")
+TEST_CASE_FIXTURE(TwoEnds, "link framer, chunks without end, are rejected")
 {
-    const std::string part = std::string(1, '\x01') + std::string(1024UL * 1024, 'x');
-    const auto nothing = [](const std::string &) { return true; };
+    const std::string chunk = std::string(1, '\x01') + std::string(1024UL * 1024, 'x');
+    const auto discardFrame = [](const std::string &) { return true; };
     bool refused = false;
     for (int i = 0; i < 10 && !refused; ++i) {
-        refused = !sender.receive(part, nothing).has_value();
+        refused = !sender.receive(chunk, discardFrame).has_value();
     }
     CHECK(refused);
 }
 
-TEST_CASE("round trip, a path of which nothing is known, is given what a healthy one may take")
+TEST_CASE("RTT estimator, no samples, returns the minimum timeout")
 {
-    CHECK(RttEstimator().timeout(near) == near);
+    CHECK(RttEstimator().timeout(minTimeout) == minTimeout);
 }
 
-TEST_CASE("round trip, a quiet path, is in doubt as soon as any other")
+TEST_CASE("RTT estimator, short and steady round trips, returns the minimum timeout")
 {
-    RttEstimator trip;
+    RttEstimator estimator;
     for (int i = 0; i < 50; ++i) {
-        trip.add(std::chrono::milliseconds(3 + i % 2));
+        estimator.add(std::chrono::milliseconds(3 + i % 2));
     }
-    CHECK(trip.timeout(near) == near);
+    CHECK(estimator.timeout(minTimeout) == minTimeout);
 }
 
-TEST_CASE("round trip, a path to a busy node, is given the time that its answers take")
+TEST_CASE("RTT estimator, path to a busy node, returns a timeout above its round trips")
 {
-    // Receipts of a node with a tenth of a core came 100 to 400 ms after the Work. With 200 ms for every path thirty
-    // sound paths a second were taken for broken, and each was tried by the whole region.
-    RttEstimator trip;
+    // Acknowledgements from a node with a tenth of a core arrived 100 to 400 ms after the Work. With a timeout of 200
+    // ms for every path, thirty healthy paths a second were treated as failed, and the whole region probed each of
+    // them.
+    RttEstimator estimator;
     for (int i = 0; i < 50; ++i) {
-        trip.add(std::chrono::milliseconds(100 + 300 * (i % 2)));
+        estimator.add(std::chrono::milliseconds(100 + 300 * (i % 2)));
     }
-    CHECK(trip.timeout(near) > std::chrono::milliseconds(400));
-    CHECK(trip.timeout(near) <= std::chrono::milliseconds(1500));
+    CHECK(estimator.timeout(minTimeout) > std::chrono::milliseconds(400));
+    CHECK(estimator.timeout(minTimeout) <= std::chrono::milliseconds(1500));
 }
 
-TEST_CASE("round trip, a false alarm, doubles the timeout until an answer is measured")
+TEST_CASE("RTT estimator, spurious timeout, doubles the timeout until the next sample")
 {
-    RttEstimator trip;
-    trip.add(std::chrono::milliseconds(3));
-    trip.noteSpuriousTimeout();
-    CHECK(trip.timeout(near) == 2 * near);
-    trip.noteSpuriousTimeout();
-    CHECK(trip.timeout(near) == 4 * near);
-    trip.add(std::chrono::milliseconds(3));
-    CHECK(trip.timeout(near) == near);
+    RttEstimator estimator;
+    estimator.add(std::chrono::milliseconds(3));
+    estimator.noteSpuriousTimeout();
+    CHECK(estimator.timeout(minTimeout) == 2 * minTimeout);
+    estimator.noteSpuriousTimeout();
+    CHECK(estimator.timeout(minTimeout) == 4 * minTimeout);
+    estimator.add(std::chrono::milliseconds(3));
+    CHECK(estimator.timeout(minTimeout) == minTimeout);
 }
 
-TEST_CASE("round trip, an answer that a cut held up for seconds, does not hide the next cut")
+TEST_CASE("RTT estimator, sample delayed for seconds by a network cut, does not hide the next cut")
 {
-    RttEstimator trip;
+    RttEstimator estimator;
     for (int i = 0; i < 20; ++i) {
-        trip.add(std::chrono::milliseconds(3));
+        estimator.add(std::chrono::milliseconds(3));
     }
-    trip.add(std::chrono::seconds(5));
-    CHECK(trip.timeout(near) < std::chrono::milliseconds(800));
+    estimator.add(std::chrono::seconds(5));
+    CHECK(estimator.timeout(minTimeout) < std::chrono::milliseconds(800));
     for (int i = 0; i < 12; ++i) {
-        trip.add(std::chrono::milliseconds(3));
+        estimator.add(std::chrono::milliseconds(3));
     }
-    CHECK(trip.timeout(near) == near);
+    CHECK(estimator.timeout(minTimeout) == minTimeout);
 }
