--- a/tests/unit/MessageDeflateTest.cpp
+++ b/tests/unit/MessageDeflateTest.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(OneDirection, "message deflate, messages of all sizes, arrive as they were sent")
+TEST_CASE_FIXTURE(OneDirection, "message deflate, messages of all sizes, are restored unchanged")
 {
     for (const std::size_t size : {0, 1, 3, 100, 4095, 4096, 4097, 8192, 100000}) {
         std::string message;
@@ -37,29 +37,29 @@
     }
 }
 
-TEST_CASE_FIXTURE(OneDirection, "message deflate, messages like earlier ones, take a third of their bytes")
+TEST_CASE_FIXTURE(OneDirection, "message deflate, messages similar to earlier ones, shrink to a third")
 {
-    std::size_t plain = 0;
-    std::size_t sent = 0;
+    std::size_t originalBytes = 0;
+    std::size_t compressedBytes = 0;
     for (int i = 0; i < 100; ++i) {
         const std::string frame = deflater.deflate(message(i));
         REQUIRE(inflater.inflate(frame, maxBytes).value_or("") == message(i));
-        plain += message(i).size();
-        sent += frame.size();
+        originalBytes += message(i).size();
+        compressedBytes += frame.size();
     }
-    CHECK(sent * 3 < plain);
+    CHECK(compressedBytes * 3 < originalBytes);
 }
 
-TEST_CASE_FIXTURE(OneDirection, "message deflate, small frame that stands for a huge message, is refused")
+TEST_CASE_FIXTURE(OneDirection, "message deflate, small frame that expands to a huge message, is rejected")
 {
-    // A peer that is none of ours sends a frame that stands for a thousand times its bytes. The node must not be
-    // killed for the memory that they would take.
+    // Guards against a peer, foreign to the fleet, whose frame expands to a thousand times its size: the node would be
+    // killed for its memory use.
     const std::string frame = deflater.deflate(std::string(900000, 'x'));
     REQUIRE(frame.size() < 10000);
     CHECK_FALSE(inflater.inflate(frame, maxBytes).has_value());
 }
 
-TEST_CASE_FIXTURE(OneDirection, "message deflate, bytes that are no stream, are refused")
+TEST_CASE_FIXTURE(OneDirection, "message deflate, bytes that are no deflate stream, are rejected")
 {
     CHECK_FALSE(inflater.inflate("\xff\xff\xff\xff not compressed", maxBytes).has_value());
 }
