--- a/tests/unit/LogTest.cpp
+++ b/tests/unit/LogTest.cpp
@@ -9,10 +9,10 @@
 
 using namespace waxwing;
 
-TEST_CASE("line pipe, reader that stopped reading, never blocks and counts what it leaves out")
+TEST_CASE("line writer, reader that stopped reading, never blocks and counts dropped lines")
 {
-    // On-call engineers page through a node's output and leave the pager open. The pipe fills up. A blocking write
-    // would stop the node's only thread, and with it every request on that VM.
+    // Guards against a reader of a node's output that stops reading, such as an open pager: the pipe fills up, and a
+    // blocking write would stop the node's only thread, and with it every request on that VM.
     int ends[2] = {0, 0};
     REQUIRE(pipe(ends) == 0);
     constexpr std::size_t capacity = 10000;
@@ -32,7 +32,7 @@
     close(ends[1]);
 }
 
-TEST_CASE("event log, more request lines than the bound, keeps failures and says how many it left out")
+TEST_CASE("event log, more request events than the rate limit, keeps failures and reports the number of dropped lines")
 {
     testing::ManualClock clock;
     RequestLogTuning tuning;
