--- a/tests/integration/PipelineTest.cpp
+++ b/tests/integration/PipelineTest.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr Millis unit{30};
-constexpr Millis patience{3000};
+constexpr Millis readTimeout{3000};
 
 std::string get(const std::string &path, const std::string &more = "")
 {
@@ -29,7 +29,7 @@
     return "POST " + path + " HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 4\r\n\r\nseat";
 }
 
-/** A server whose handler takes as many units of time as the path's number says, and a caller that writes raw bytes. */
+/** A server whose handler takes as many time units as the path's number says, and a caller that writes raw bytes. */
 struct RawCaller {
     explicit RawCaller(HttpLimits limits = {})
     {
@@ -42,13 +42,13 @@
 
     HttpReply handle(const HttpRequest &request, const CallerWatchPtr &watch)
     {
-        begun.push_back(request.target);
-        begunBeside.push_back(running);
-        mostAtOnce = std::max(mostAtOnce, ++running);
+        started.push_back(request.target);
+        othersRunning.push_back(running);
+        maxRunning = std::max(maxRunning, ++running);
         const Millis length = std::stoi(request.target.substr(1)) * unit;
         boost::asio::steady_timer timer(loopContext(), length);
         watch->onDisconnect = [this, &timer] {
-            ++gone;
+            ++disconnects;
             timer.cancel();
         };
         await([&](auto done) { timer.async_wait(std::move(done)); });
@@ -64,10 +64,10 @@
         await([&](auto done) { boost::asio::async_write(socket, boost::asio::buffer(bytes), std::move(done)); });
     }
 
-    /** Reads until @p text has come, or the server closes, or the patience is over. */
+    /** Reads until @p text arrives, the server closes, or readTimeout expires. */
     std::string readUntil(const std::string &text)
     {
-        boost::asio::steady_timer timer(loopContext(), patience);
+        boost::asio::steady_timer timer(loopContext(), readTimeout);
         timer.async_wait([this](boost::system::error_code cancelled) {
             if (!cancelled) {
                 socket.cancel();
@@ -83,7 +83,7 @@
         return read;
     }
 
-    /** The paths whose answers came, in order. */
+    /** The paths whose responses arrived, in order. */
     std::vector<std::string> answered() const
     {
         std::vector<std::string> paths;
@@ -96,18 +96,18 @@
     using Paths = std::vector<std::string>;
     std::unique_ptr<HttpServer> server;
     boost::asio::ip::tcp::socket socket{loopContext()};
-    Paths begun;
-    /** How many others ran when each began. */
-    std::vector<int> begunBeside;
+    Paths started;
+    /** How many other requests ran when each one started. */
+    std::vector<int> othersRunning;
     int running = 0;
-    int mostAtOnce = 0;
-    int gone = 0;
+    int maxRunning = 0;
+    int disconnects = 0;
     std::size_t bodyBytes = 0;
     std::string read;
     bool closed = false;
 };
 
-struct RawCallerWithBounds : RawCaller {
+struct RawCallerWithLimits : RawCaller {
     static HttpLimits limits()
     {
         HttpLimits out;
@@ -115,24 +115,24 @@
         return out;
     }
 
-    RawCallerWithBounds()
+    RawCallerWithLimits()
         : RawCaller(limits())
     { }
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, the first request is the slowest, all run at once and are answered in order")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, first request is the slowest, all run concurrently and are answered in order")
 {
-    // A member sends three look-ups at once. Served one at a time the second was not even read for a second, and its
-    // caller gave it up.
+    // Guards against pipelined requests that run one at a time: the second of three was not even read for a second, and
+    // its caller gave up.
     write(get("/4") + get("/2") + get("/1"));
     readUntil("</1>");
     CHECK(answered() == Paths{"/4", "/2", "/1"});
-    CHECK(mostAtOnce == 3);
+    CHECK(maxRunning == 3);
 }
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, requests that arrive byte by byte, are answered as if they came at once")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, requests that arrive byte by byte, are answered in order")
 {
     for (const char byte : get("/2") + get("/1")) {
         write(std::string(1, byte));
@@ -141,7 +141,7 @@
     CHECK(answered() == Paths{"/2", "/1"});
 }
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, answers of unlike size to a slow reader, arrive whole and in order")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, large responses to a slow reader, arrive complete and in order")
 {
     bodyBytes = 3UL * 1024 * 1024;
     write(get("/1") + get("/2"));
@@ -154,49 +154,48 @@
     CHECK(static_cast<std::size_t>(std::count(read.begin(), read.end(), 'x')) >= 3 * bodyBytes);
 }
 
-TEST_CASE_FIXTURE(RawCaller,
-                  "pipeline, a request that asks to close, is answered last and what is behind it never runs")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, request that asks to close, is answered last and requests behind it never run")
 {
-    // What stands behind a closing answer counts as not read: its caller sends it again, whatever its kind.
+    // Requests behind a closing response count as not read: their caller resends them, whatever their method.
     write(get("/2") + get("/1", "Connection: close\r\n") + get("/3"));
     readUntil("");
     CHECK(closed);
     CHECK(answered() == Paths{"/2", "/1"});
-    CHECK(begun == Paths{"/2", "/1"});
+    CHECK(started == Paths{"/2", "/1"});
 }
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, a booking between look-ups, runs alone")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, booking between lookups, runs alone")
 {
     write(get("/4") + post("/2") + get("/3") + get("/1"));
     readUntil("</1>");
     CHECK(answered() == Paths{"/4", "/2", "/3", "/1"});
-    CHECK(begunBeside == std::vector<int>{0, 0, 0, 1});
+    CHECK(othersRunning == std::vector<int>{0, 0, 0, 1});
 }
 
 TEST_CASE_FIXTURE(RawCaller,
-                  "pipeline, a malformed request in the middle, ends the connection after what was before it")
+                  "pipeline, malformed request in the middle, closes the connection after the responses before it")
 {
     write(get("/2") + "NONSENSE\r\n\r\n" + get("/1"));
     readUntil("");
     CHECK(closed);
     CHECK(answered() == Paths{"/2"});
     CHECK(read.find("HTTP/1.1 400") > read.find("</2>"));
-    CHECK(begun == Paths{"/2"});
+    CHECK(started == Paths{"/2"});
 }
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, a caller that leaves with requests waiting, has all of them cancelled")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, caller that disconnects with requests in progress, has all of them cancelled")
 {
-    // The caller's close used to be seen only while no further byte lay in the socket: with look-ups behind the first
-    // one, servers went on working for nobody.
+    // Guards against a close that is noticed only if no unread byte is in the socket: with requests behind the first
+    // one, servers kept working for a caller that was gone.
     write(get("/50") + get("/60") + get("/70"));
     sleepFor(loopContext(), 2 * unit);
-    REQUIRE(begun.size() == 3);
+    REQUIRE(started.size() == 3);
     socket.close();
-    CHECK(eventually([this] { return gone == 3; }));
+    CHECK(eventually([this] { return disconnects == 3; }));
     CHECK(eventually([this] { return server->requestsInFlight() == 0 && server->connections() == 0; }));
 }
 
-TEST_CASE_FIXTURE(RawCallerWithBounds, "pipeline, a caller that sends without end, is read no further than the bounds")
+TEST_CASE_FIXTURE(RawCallerWithLimits, "pipeline, caller that sends without end, is read only up to the limits")
 {
     std::string many;
     for (int i = 0; i < 20000; ++i) {
@@ -210,17 +209,17 @@
         taken += error ? 0 : wrote;
         sleepFor(loopContext(), Millis(2));
     }
-    CHECK(mostAtOnce == 4);
-    // Beyond the bounds only the sockets of both ends hold bytes.
+    CHECK(maxRunning == 4);
+    // Beyond the limits only the sockets of both ends hold bytes.
     CHECK(error == boost::asio::error::would_block);
     CHECK(taken < 20 * many.size());
     socket.close();
     CHECK(eventually([this] { return server->connections() == 0; }));
 }
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, a stop with five requests outstanding, answers all five and runs no sixth")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, shutdown with five requests outstanding, answers all five and runs no sixth")
 {
-    // Closing after the first answer would leave four requests that servers had run without an answer.
+    // Closing after the first response would leave four requests that had run without a response.
     write(get("/5") + get("/4") + get("/3") + get("/2") + get("/1"));
     sleepFor(loopContext(), unit);
     server->announceClose();
@@ -228,11 +227,11 @@
     readUntil("");
     CHECK(closed);
     CHECK(answered() == Paths{"/5", "/4", "/3", "/2", "/1"});
-    CHECK(begun.size() == 5);
+    CHECK(started.size() == 5);
     CHECK(read.find("Connection: close") > read.find("</2>"));
 }
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, a drain while requests are outstanding, answers them and closes")
+TEST_CASE_FIXTURE(RawCaller, "pipeline, drain with requests outstanding, answers them and closes")
 {
     write(get("/3") + get("/1"));
     sleepFor(loopContext(), unit);
