--- a/tests/integration/BadInputTest.cpp
+++ b/tests/integration/BadInputTest.cpp
@@ -12,7 +12,7 @@
 
 namespace asio = boost::asio;
 
-/** Sends raw bytes and returns what comes back until the peer closes or half a second has passed. */
+/** Sends raw bytes and returns the response, read until the peer closes or half a second has passed. */
 std::string rawExchange(const Endpoint &endpoint, const std::string &bytes)
 {
     asio::io_context context;
@@ -21,26 +21,26 @@
     socket.connect({asio::ip::make_address(endpoint.address), endpoint.port}, error);
     asio::write(socket, asio::buffer(bytes), error);
     socket.non_blocking(true, error);
-    std::string answer;
+    std::string response;
     std::array<char, 4096> buffer{};
     for (int tries = 0; tries < 50; ++tries) {
-        boost::system::error_code got;
-        const std::size_t count = socket.read_some(asio::buffer(buffer), got);
-        answer.append(buffer.data(), count);
-        if (got && got != asio::error::would_block) {
+        boost::system::error_code readError;
+        const std::size_t count = socket.read_some(asio::buffer(buffer), readError);
+        response.append(buffer.data(), count);
+        if (readError && readError != asio::error::would_block) {
             break;
         }
         pause(Millis(10));
     }
-    return answer;
+    return response;
 }
 
 } // namespace
 
 TEST_CASE("node, malformed and oversized and foreign input on every port, answers clearly and serves on")
 {
-    // Story: a broken client, a port scanner and a server of a newer release all talk to a node. Each gets a clear
-    // error or a clean close; the requests of others go on.
+    // Guards against a node that stops serving after foreign input: a broken client, a port scanner and a server of a
+    // newer release send bytes to it. Each gets a clear error or a clean close, and other requests still succeed.
     FleetOptions options;
     options.nodes = 1;
     options.floor = "1 servers";
@@ -81,7 +81,7 @@
     CHECK(metrics["counters"].value("announcements_refused", 0) == 1);
 }
 
-TEST_CASE("object of a newer schema, written past the checks, is refused and the version in force stays")
+TEST_CASE("object of a newer schema, written without validation, is rejected and the active version stays")
 {
     Fleet fleet;
     const nlohmann::json standing = fleet.view(0, "/v1/config");
@@ -95,7 +95,7 @@
     CHECK(fleet.read(2, "after-newer").outcome == "ran");
 }
 
-TEST_CASE("node, settings with faults, says all of them and does not start")
+TEST_CASE("node, unreadable settings file, reports the error and does not start")
 {
     FleetOptions options;
     options.nodes = 1;
