--- a/tests/standins/faultproxy.cpp
+++ b/tests/standins/faultproxy.cpp
@@ -1,6 +1,6 @@
 /**
- * TCP proxy that injects faults between two processes: delay, silence in one direction, reset, a cut after some
- * bytes, a freeze, and a limit on bytes a second. Faults are set while it runs over a control port.
+ * TCP proxy that injects faults between two processes: delay, held traffic in one direction, reset, truncation after
+ * some bytes, a freeze, and a bandwidth limit. Faults are set at run time over a control port.
  */
 #include "include/settings/NodeSettings.h"
 #include "src/http/HttpServer.h"
@@ -19,17 +19,17 @@
 using nlohmann::json;
 using tcp = boost::asio::ip::tcp;
 
-constexpr std::size_t chunk = 16UL * 1024;
-constexpr Millis holdPoll{5};
+constexpr std::size_t bufferBytes = 16UL * 1024;
+constexpr Millis holdPollInterval{5};
 
 /** Faults of one direction. */
 struct Faults {
     std::int64_t delayMs = 0;
-    /** Bytes are held back, as by a one-way cut, and go on when the cut heals. */
+    /** Bytes are held back, as by a one-way network cut, and are sent when the cut ends. */
     bool hold = false;
-    /** Bytes a second; 0: no limit. */
+    /** Bytes per second; 0: no limit. */
     std::int64_t bytesPerSecond = 0;
-    /** Cut the connection once this many bytes have passed in total; -1: never. */
+    /** Resets the connection after this many bytes in total; -1: never. */
     std::int64_t cutAfter = -1;
 };
 
@@ -99,7 +99,7 @@
         { }
         tcp::socket caller;
         tcp::socket target;
-        /** Both directions hold their bytes, while connections that are opened later work. */
+        /** Both directions hold their bytes, while connections opened later work. */
         bool silent = false;
         int pumps = 2;
     };
@@ -139,20 +139,20 @@
 
     void pump(const std::shared_ptr<Pair> &pair, tcp::socket &from, tcp::socket &to, Faults &faults)
     {
-        std::array<char, chunk> buffer{};
+        std::array<char, bufferBytes> buffer{};
         while (true) {
-            const std::size_t most =
+            const std::size_t maxBytes =
                 faults.bytesPerSecond > 0 ? std::min<std::size_t>(
-                    chunk, static_cast<std::size_t>(std::max<std::int64_t>(1, faults.bytesPerSecond / 50)))
-                                          : chunk;
-            const IoResult got = await([&](auto handle) {
-                from.async_read_some(boost::asio::buffer(buffer.data(), most), std::move(handle));
+                    bufferBytes, static_cast<std::size_t>(std::max<std::int64_t>(1, faults.bytesPerSecond / 50)))
+                                          : bufferBytes;
+            const IoResult received = await([&](auto handle) {
+                from.async_read_some(boost::asio::buffer(buffer.data(), maxBytes), std::move(handle));
             });
-            if (got.error) {
+            if (received.error) {
                 break;
             }
-            std::size_t bytes = got.bytes;
-            wait(faults, *pair, bytes);
+            std::size_t bytes = received.bytes;
+            delay(faults, *pair, bytes);
             const bool cut = faults.cutAfter >= 0 && static_cast<std::int64_t>(bytes) >= faults.cutAfter;
             if (cut) {
                 bytes = static_cast<std::size_t>(faults.cutAfter);
@@ -176,7 +176,7 @@
         }
     }
 
-    void wait(const Faults &faults, const Pair &pair, std::size_t bytes)
+    void delay(const Faults &faults, const Pair &pair, std::size_t bytes)
     {
         if (faults.delayMs > 0) {
             sleepFor(ioContext_, Millis(faults.delayMs));
@@ -185,7 +185,7 @@
             sleepFor(ioContext_, Millis(1000 * static_cast<std::int64_t>(bytes) / faults.bytesPerSecond));
         }
         while (faults.hold || pair.silent) {
-            sleepFor(ioContext_, holdPoll);
+            sleepFor(ioContext_, holdPollInterval);
         }
     }
 
@@ -204,7 +204,7 @@
     namespace po = boost::program_options;
     po::options_description options("TCP proxy that injects faults");
     options.add_options()("target", po::value<std::string>()->default_value("127.0.0.1:1"),
-                          "where connections go on to");
+                          "endpoint to which connections are forwarded");
     return standin::runStandin(
         argc, argv, options, [](boost::asio::io_context &ioContext, const po::variables_map &values) {
             Findings findings;
