--- a/tests/standins/backend.cpp
+++ b/tests/standins/backend.cpp
@@ -1,6 +1,7 @@
 /**
- * Stand-in for a backend server: announces itself, works in slots, keeps a ledger of every execution, and on demand
- * fails gray: its health endpoint answers well while real work stalls, slows, errs, is cut or garbled.
+ * Stand-in for a backend server: announces itself, runs requests in slots, and records every execution in a ledger. On
+ * demand it fails gray: its health endpoint succeeds while real requests stall, slow down, fail, or have their
+ * responses reset or truncated.
  */
 #include "include/home/Announcement.h"
 #include "src/http/HttpClient.h"
@@ -19,15 +20,15 @@
 using namespace waxwing;
 using nlohmann::json;
 
-constexpr Millis announceEvery{500};
+constexpr Millis announceInterval{500};
 constexpr Millis announceTimeout{400};
-const std::string poisonMark = "ends-the-server";
-constexpr Millis dyingTime{20};
+const std::string poisonMarker = "ends-the-server";
+constexpr Millis crashDelay{20};
 
-/** How real work fails; the health endpoint stays well. */
+/** How real requests fail; the health endpoint always succeeds. */
 struct Mode {
     std::string name = "ok";
-    /** Share of requests that are affected. */
+    /** Share of affected requests. */
     double share = 1.0;
     double factor = 5.0;
 };
@@ -39,9 +40,9 @@
     std::string ledger;
     std::uint32_t slots = 3;
     Millis work{5};
-    Millis coldFor{0};
+    Millis coldDuration{0};
     std::uint64_t seed = 1;
-    /** Where it says it is, if that is not where it listens. */
+    /** Port to announce, if it differs from the listening port. */
     std::uint16_t announcedPort = 0;
 };
 
@@ -75,13 +76,13 @@
     void announceLoop(std::uint16_t port)
     {
         port_ = options_.announcedPort != 0 ? options_.announcedPort : port;
-        while (!gone_) {
+        while (!stopped_) {
             announceOnce();
-            sleepFor(ioContext_, announceEvery);
+            sleepFor(ioContext_, announceInterval);
         }
     }
 
-    /** Drains: announces it, finishes what runs, leaves. */
+    /** Drains: announces that, finishes running requests, then announces that it leaves. */
     void stop()
     {
         state_ = ServerState::Draining;
@@ -92,7 +93,7 @@
         }
         state_ = ServerState::Leaving;
         announceOnce();
-        gone_ = true;
+        stopped_ = true;
     }
 
 private:
@@ -107,7 +108,7 @@
         announcement.slots = options_.slots;
         announcement.connections = 400;
         announcement.state = state_;
-        for (std::size_t tried = 0; tried < options_.homes.size(); ++tried) {
+        for (std::size_t attempts = 0; attempts < options_.homes.size(); ++attempts) {
             Findings ignored;
             const Endpoint home = parseEndpoint(options_.homes[home_ % options_.homes.size()], "", ignored);
             const auto answer = client_.exchange(
@@ -123,7 +124,7 @@
     HttpReply control(const HttpRequest &request)
     {
         if (request.target == "/_ledger") {
-            return HttpReply{jsonResponse(200, json{{"executions", executions_}, {"mostRunning", mostRunning_}}.dump()),
+            return HttpReply{jsonResponse(200, json{{"executions", executions_}, {"mostRunning", maxRunning_}}.dump()),
                              AfterResponse::KeepOpen};
         }
         const json body = json::parse(request.body, nullptr, false);
@@ -142,14 +143,14 @@
         return std::uniform_real_distribution<double>(0.0, 1.0)(random_) < mode_.share;
     }
 
-    bool isOutNow() const
+    bool isFailingNow() const
     {
-        // Flapping: two seconds well, two seconds out.
+        // Flapping: healthy and failing for two seconds each.
         const auto age = std::chrono::steady_clock::now() - startedAt_;
         return (age / std::chrono::seconds(2)) % 2 == 1;
     }
 
-    void noteExecution(const HttpRequest &request)
+    void recordExecution(const HttpRequest &request)
     {
         ++executions_;
         const std::string id(headerValue(request.headers, "X-Request-Id"));
@@ -169,43 +170,43 @@
 
     HttpReply work(const HttpRequest &request, const CallerWatchPtr &caller)
     {
-        const bool hit = mode_.name != "ok" && affected() && (mode_.name != "flap" || isOutNow());
-        if (running_ >= options_.slots || (hit && mode_.name == "shed")) {
+        const bool isAffected = mode_.name != "ok" && affected() && (mode_.name != "flap" || isFailingNow());
+        if (running_ >= options_.slots || (isAffected && mode_.name == "shed")) {
             return shed();
         }
-        if (request.body.find(poisonMark) != std::string::npos
-            || request.target.find(poisonMark) != std::string::npos) {
-            noteExecution(request);
-            // A process that ends closes its sockets one after the other: the connection first, then the listener.
+        if (request.body.find(poisonMarker) != std::string::npos
+            || request.target.find(poisonMarker) != std::string::npos) {
+            recordExecution(request);
+            // An exiting process closes its sockets one after the other: here the connection first, then the listener.
             spawnFiber([this] {
-                sleepFor(ioContext_, dyingTime);
+                sleepFor(ioContext_, crashDelay);
                 std::_Exit(9);
             });
             return HttpReply{HttpResponse(), AfterResponse::Reset};
         }
         ++running_;
-        mostRunning_ = std::max(mostRunning_, running_);
-        noteExecution(request);
+        maxRunning_ = std::max(maxRunning_, running_);
+        recordExecution(request);
         Millis length = options_.work;
         const auto age = std::chrono::steady_clock::now() - startedAt_;
-        if (age < options_.coldFor) {
+        if (age < options_.coldDuration) {
             length *= 4;
         }
-        if (hit && (mode_.name == "stall" || mode_.name == "flap")) {
+        if (isAffected && (mode_.name == "stall" || mode_.name == "flap")) {
             length = std::chrono::seconds(30);
-        } else if (hit && mode_.name == "slow") {
+        } else if (isAffected && mode_.name == "slow") {
             length = Millis(static_cast<std::int64_t>(static_cast<double>(length.count()) * mode_.factor));
         }
-        // Cancellation: the caller closed its connection, and the slot is free again.
+        // Cancellation: the caller closed its connection, and the slot becomes free.
         boost::asio::steady_timer timer(ioContext_, length);
         caller->onDisconnect = [&timer] { timer.cancel(); };
         await([&](auto handle) { timer.async_wait(std::move(handle)); });
         caller->onDisconnect = {};
         --running_;
-        return answer(request, hit);
+        return answer(request, isAffected);
     }
 
-    HttpReply answer(const HttpRequest &request, bool hit)
+    HttpReply answer(const HttpRequest &request, bool isAffected)
     {
         const std::string id(headerValue(request.headers, "X-Request-Id"));
         const json body = {{"server", options_.name},      {"request", id},
@@ -213,11 +214,11 @@
                            {"bytes", request.body.size()}, {"padding", std::string(200, 'x')}};
         HttpReply reply{jsonResponse(200, body.dump()), AfterResponse::KeepOpen};
         reply.response.headers.emplace_back("X-Request-Id", id);
-        if (hit && mode_.name == "errors") {
+        if (isAffected && mode_.name == "errors") {
             reply.response.status = 500;
-        } else if (hit && mode_.name == "cut") {
+        } else if (isAffected && mode_.name == "cut") {
             reply.after = AfterResponse::TruncateBody;
-        } else if (hit && mode_.name == "reset") {
+        } else if (isAffected && mode_.name == "reset") {
             reply.after = AfterResponse::Reset;
         }
         return reply;
@@ -235,9 +236,9 @@
     std::size_t home_ = 0;
     std::uint16_t port_ = 0;
     std::uint32_t running_ = 0;
-    std::uint32_t mostRunning_ = 0;
+    std::uint32_t maxRunning_ = 0;
     std::uint64_t executions_ = 0;
-    bool gone_ = false;
+    bool stopped_ = false;
 };
 
 } // namespace
@@ -252,10 +253,10 @@
         ("name", po::value<std::string>()->required(), "server name")
         ("homes", po::value<std::string>()->required(), "operator endpoints of nodes, separated by commas")
         ("ledger", po::value<std::string>()->default_value(""), "file to append executions to")
-        ("slots", po::value<std::uint32_t>()->default_value(3), "requests worked on at once")
-        ("work-ms", po::value<int>()->default_value(5), "time that a request takes")
-        ("cold-ms", po::value<int>()->default_value(0), "after the start work takes four times as long, for this time")
-        ("announced-port", po::value<std::uint16_t>()->default_value(0), "port to announce, if not its own")
+        ("slots", po::value<std::uint32_t>()->default_value(3), "requests that run at once")
+        ("work-ms", po::value<int>()->default_value(5), "processing time of a request")
+        ("cold-ms", po::value<int>()->default_value(0), "time after the start with a fourfold processing time")
+        ("announced-port", po::value<std::uint16_t>()->default_value(0), "port to announce; 0: the listening port")
         ("seed", po::value<std::uint64_t>()->default_value(1), "random seed")
         ("port", po::value<std::uint16_t>()->default_value(0), "0 picks a free one");
     // clang-format on
@@ -268,7 +269,7 @@
             parsed.ledger = values["ledger"].as<std::string>();
             parsed.slots = values["slots"].as<std::uint32_t>();
             parsed.work = Millis(values["work-ms"].as<int>());
-            parsed.coldFor = Millis(values["cold-ms"].as<int>());
+            parsed.coldDuration = Millis(values["cold-ms"].as<int>());
             parsed.seed = values["seed"].as<std::uint64_t>();
             parsed.announcedPort = values["announced-port"].as<std::uint16_t>();
             Backend backend(ioContext, parsed);
