--- a/tests/standins/StandinMain.h
+++ b/tests/standins/StandinMain.h
@@ -39,7 +39,7 @@
     endProcess(body(ioContext, values));
 }
 
-/** Says on standard output which port was taken, for whoever started this process. */
+/** Prints to standard output which port was opened, for the process that started this one. */
 inline void printPort(const char *name, unsigned port)
 {
     std::printf("%s=%u\n", name, port);
