--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,6 +1,7 @@
 /**
- * Slopes behind docs/CAPACITY.md that need no processes: bytes, memory and processor time of each kind of state and
- * message, at five sizes over a tenfold range or more, with the least-squares line and its largest residual.
+ * Measures the growth rates used by docs/CAPACITY.md that need no processes: bytes, memory and processor time of each
+ * kind of state and message, at five sizes over a tenfold range or more, with the least-squares line and its largest
+ * residual.
  */
 #include "include/claim/ClaimTable.h"
 #include "include/home/ServiceHome.h"
@@ -27,7 +28,7 @@
 
 using namespace waxwing;
 
-/** What one size gave. */
+/** One measurement. */
 struct Point {
     double size = 0.0;
     double value = 0.0;
@@ -48,7 +49,7 @@
 }
 
 /** Prints the fitted line value = a + b * size, and the largest residual as a share of the largest value. */
-void fit(const char *name, const char *unit, const std::vector<Point> &points)
+void printFit(const char *name, const char *unit, const std::vector<Point> &points)
 {
     double sx = 0;
     double sy = 0;
@@ -63,14 +64,14 @@
     }
     const double slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
     const double base = (sy - slope * sx) / n;
-    double worst = 0;
-    double largest = 1e-12;
+    double maxResidual = 0;
+    double maxValue = 1e-12;
     for (const Point &p : points) {
-        worst = std::max(worst, std::fabs(p.value - (base + slope * p.size)));
-        largest = std::max(largest, std::fabs(p.value));
+        maxResidual = std::max(maxResidual, std::fabs(p.value - (base + slope * p.size)));
+        maxValue = std::max(maxValue, std::fabs(p.value));
     }
     std::printf("%-34s slope %12.4f %-22s base %12.2f  residual %4.1f%%  at", name, slope, unit, base,
-                100.0 * worst / largest);
+                100.0 * maxResidual / maxValue);
     for (const Point &p : points) {
         std::printf(" %.0f", p.size);
     }
@@ -78,7 +79,7 @@
     std::fflush(stdout);
 }
 
-/** Heap that @p build leaves behind for each size. */
+/** Measures the heap that the result of @p build occupies, for each size. */
 void memorySlope(const char *name, const std::vector<int> &sizes,
                  const std::function<std::shared_ptr<void>(int)> &build)
 {
@@ -88,10 +89,10 @@
         const std::shared_ptr<void> kept = build(size);
         points.push_back(Point{static_cast<double>(size), static_cast<double>(heapBytes() - before)});
     }
-    fit(name, "bytes each", points);
+    printFit(name, "bytes each", points);
 }
 
-/** Processor time of @p work in microseconds for each size, best of three. */
+/** Measures the processor time of @p work in microseconds for each size, best of three runs. */
 void timeSlope(const char *name, const char *unit, const std::vector<int> &sizes, const std::function<void(int)> &work)
 {
     std::vector<Point> points;
@@ -104,7 +105,7 @@
         }
         points.push_back(Point{static_cast<double>(size), best * 1e6});
     }
-    fit(name, unit, points);
+    printFit(name, unit, points);
 }
 
 NodeRecord sampleNode(int number, int services)
@@ -284,12 +285,12 @@
     for (const int size : {0, 13, 27, 40, 54}) {
         points.push_back(Point{static_cast<double>(size), bytes(RecordsPush{{toRecord(sampleNode(1, size), 1)}})});
     }
-    fit("node record on the wire", "bytes a service", points);
+    printFit("node record on the wire", "bytes a service", points);
     points.clear();
     for (const int size : {4, 7, 14, 28, 56}) {
         points.push_back(Point{static_cast<double>(size), bytes(RecordsPush{{sampleService(1, size, 1)}})});
     }
-    fit("service record on the wire", "bytes a route", points);
+    printFit("service record on the wire", "bytes a route", points);
     points.clear();
     for (const int members : {26, 260, 650, 1300, 2600}) {
         std::vector<std::string> ids;
