--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -1,6 +1,6 @@
 /**
- * Open-loop load: arrivals at random (Poisson) times of a fixed rate, whatever the answers do. Sends the same work
- * straight to servers and through the fleet, in turn, and prints both with what the fleet added.
+ * Open-loop load generator: Poisson arrivals at a fixed rate, independent of the responses. Sends the same requests
+ * directly to servers and then through the fleet, and prints both results and the latency that the fleet adds.
  */
 #include "include/base/Clock.h"
 #include "include/base/Findings.h"
@@ -35,14 +35,14 @@
     double writeShare = 0.0;
     double rate = 100.0;
     std::chrono::seconds length{10};
-    std::size_t mostOpen = 1000;
+    std::size_t maxOpen = 1000;
     std::uint64_t seed = 1;
     std::size_t bodyBytes = 200;
     bool ticket = false;
-    Millis allowed{5000};
+    Millis timeout{5000};
 };
 
-/** What one run found. */
+/** Results of one run. */
 struct Result {
     std::vector<double> latenciesMs;
     std::map<std::string, std::uint64_t> outcomes;
@@ -72,7 +72,7 @@
     Result run(const std::vector<Endpoint> &targets, bool throughFleet)
     {
         std::mt19937_64 random(options_.seed);
-        std::exponential_distribution<double> gap(options_.rate);
+        std::exponential_distribution<double> interarrival(options_.rate);
         std::uniform_real_distribution<double> share(0.0, 1.0);
         Result result;
         const auto start = Steady::now();
@@ -84,15 +84,15 @@
             }
             const bool write = share(random) < options_.writeShare;
             const Endpoint &target = targets[number % targets.size()];
-            if (open_ >= options_.mostOpen) {
+            if (open_ >= options_.maxOpen) {
                 ++result.notStarted;
             } else {
                 ++open_;
                 spawnFiber([this, &result, target, write, throughFleet, due = next, id = ++number] {
-                    one(result, target, write, throughFleet, due, id);
+                    sendOne(result, target, write, throughFleet, due, id);
                 });
             }
-            next += std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(gap(random)));
+            next += std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(interarrival(random)));
         }
         while (open_ > 0) {
             sleepFor(ioContext_, Millis(5));
@@ -103,13 +103,13 @@
 
     nlohmann::json status(const Endpoint &operators)
     {
-        const auto answer = client_.exchange(operators, HttpRequest{"GET", "/v1/status", {}, {}}, options_.allowed);
-        return answer ? nlohmann::json::parse(answer->body, nullptr, false) : nlohmann::json();
+        const auto response = client_.exchange(operators, HttpRequest{"GET", "/v1/status", {}, {}}, options_.timeout);
+        return response ? nlohmann::json::parse(response->body, nullptr, false) : nlohmann::json();
     }
 
 private:
-    void one(Result &result, const Endpoint &target, bool write, bool throughFleet, Steady::time_point due,
-             std::uint64_t id)
+    void sendOne(Result &result, const Endpoint &target, bool write, bool throughFleet, Steady::time_point due,
+                 std::uint64_t id)
     {
         HttpRequest request;
         request.method = write ? "POST" : "GET";
@@ -118,20 +118,20 @@
         request.body = write ? std::string(options_.bodyBytes, 'b') : std::string();
         if (write && throughFleet && options_.ticket) {
             const auto ticket =
-                client_.exchange(target, HttpRequest{"POST", "/.waxwing/ticket", {}, {}}, options_.allowed);
+                client_.exchange(target, HttpRequest{"POST", "/.waxwing/ticket", {}, {}}, options_.timeout);
             const auto body = ticket ? nlohmann::json::parse(ticket->body, nullptr, false) : nlohmann::json();
             if (body.is_object()) {
                 request.headers.emplace_back("Idempotency-Key", body.value("ticket", ""));
             }
         }
-        const auto answer = client_.exchange(target, request, options_.allowed);
+        const auto response = client_.exchange(target, request, options_.timeout);
         const double ms = std::chrono::duration<double, std::milli>(Steady::now() - due).count();
         std::string outcome = "no-answer";
-        if (answer) {
-            const std::string named(headerValue(answer->headers, "Waxwing-Outcome"));
-            outcome = named.empty() ? "status-" + std::to_string(answer->status) : named;
+        if (response) {
+            const std::string outcomeHeader(headerValue(response->headers, "Waxwing-Outcome"));
+            outcome = outcomeHeader.empty() ? "status-" + std::to_string(response->status) : outcomeHeader;
             const bool wrong =
-                answer->status == 200 && headerValue(answer->headers, "X-Request-Id") != std::to_string(id);
+                response->status == 200 && headerValue(response->headers, "X-Request-Id") != std::to_string(id);
             outcome = wrong ? "WRONG-ANSWER" : outcome;
         }
         ++result.outcomes[outcome];
@@ -222,7 +222,7 @@
 
 int main(int argc, char **argv)
 {
-    po::options_description options("open-loop load, straight to servers and through the fleet");
+    po::options_description options("open-loop load, directly to servers and through the fleet");
     // clang-format off
     options.add_options()
         ("help", "print this")
@@ -233,11 +233,11 @@
         ("path", po::value<std::string>()->default_value("/sessions"), "path of reads")
         ("write-path", po::value<std::string>()->default_value("/bookings"), "path of writes")
         ("write-share", po::value<double>()->default_value(0.0), "share of writes")
-        ("ticket", "take a ticket for each write")
-        ("rate", po::value<double>()->default_value(100.0), "arrivals a second")
+        ("ticket", "request a ticket for each write")
+        ("rate", po::value<double>()->default_value(100.0), "arrivals per second")
         ("seconds", po::value<int>()->default_value(10), "length of each run")
-        ("open", po::value<std::size_t>()->default_value(1000), "most requests open at once")
-        ("allowed-ms", po::value<int>()->default_value(5000), "time that a request may take")
+        ("open", po::value<std::size_t>()->default_value(1000), "maximum number of open requests")
+        ("allowed-ms", po::value<int>()->default_value(5000), "timeout of a request")
         ("body-bytes", po::value<std::size_t>()->default_value(200), "bytes in a write")
         ("seed", po::value<std::uint64_t>()->default_value(1), "seed of arrivals and mix")
         ("json", "print one JSON line at the end");
@@ -270,8 +270,8 @@
     parsed.ticket = values.count("ticket") != 0;
     parsed.rate = values["rate"].as<double>();
     parsed.length = std::chrono::seconds(values["seconds"].as<int>());
-    parsed.mostOpen = values["open"].as<std::size_t>();
-    parsed.allowed = Millis(values["allowed-ms"].as<int>());
+    parsed.maxOpen = values["open"].as<std::size_t>();
+    parsed.timeout = Millis(values["allowed-ms"].as<int>());
     parsed.bodyBytes = values["body-bytes"].as<std::size_t>();
     parsed.seed = values["seed"].as<std::uint64_t>();
     std::signal(SIGPIPE, SIG_IGN);
