--- a/include/claim/ClaimTable.h
+++ b/include/claim/ClaimTable.h
@@ -13,59 +13,59 @@
 
 namespace waxwing {
 
-/** Bounds of a claim table. */
+/** Limits of a claim table. */
 struct ClaimLimits {
     std::size_t entries = 60000;
     std::size_t responseBytes = 32UL * 1024 * 1024;
-    /** A ticket may be used this long after it was minted; its claim is kept as long. */
+    /** Lifetime of a ticket from the time it was issued. Its claim is kept for the same time. */
     Millis validity = std::chrono::minutes(20);
 };
 
-/** What the owner does with a request that carries one of its tickets. */
+/** The owner's decision about a request that carries one of its tickets. */
 enum class ClaimDecision {
-    /** First attempt: run it. */
+    /** First attempt: the request may run. */
     Start,
-    /** An attempt is running: wait for its end. */
+    /** An attempt is running: wait for its result. */
     Running,
-    /** It ended: repeat its answer. */
+    /** An attempt has finished: return its stored response. */
     Replay,
-    /** It ran, but its answer was too large to keep. */
+    /** The request ran, but there was no space left to store its response. */
     ResponseNotStored,
-    /** It may have run and no answer will come. */
+    /** The request may have run, and no response will arrive. */
     OutcomeUnknown,
-    /** The same ticket came with another request. */
+    /** The ticket was used before with a different request. */
     OtherRequest,
-    /** The ticket is past its validity: whether it ran is no longer known. */
+    /** The ticket has expired: whether its request ran is no longer known. */
     Expired,
-    /** No room for another claim: refused, so not run. */
+    /** The table is full: the request is refused and has not run. */
     Full,
-    /** This node is stopping and takes no new claim. */
+    /** This node is stopping and accepts no new claims. */
     Stopping,
-    /** Another incarnation owns it. */
+    /** The ticket belongs to another incarnation. */
     NotOwner,
 };
 
 const char *claimDecisionName(ClaimDecision decision);
 
-/** The end of a claimed request. */
+/** The result of a claimed request. */
 struct ClaimResult {
     Outcome outcome = Outcome::Unknown;
     HttpResponse response;
 };
 
 /**
- * Cuts a handover into messages of about @p bytes each. Only the last names the owners, so a successor that got some
- * parts and not all decides about none of their tickets. Thread safe.
+ * Splits a handover into messages of about @p bytes each. Only the last message names the owners, so a successor that
+ * received only some of the messages accepts none of the owners' tickets. Thread safe.
  */
-std::vector<ClaimHandover> splitHandover(const ClaimHandover &whole, std::size_t bytes);
+std::vector<ClaimHandover> splitHandover(const ClaimHandover &handover, std::size_t bytes);
 
 /**
- * The record of which tickets of one owner were used, and how they ended.
+ * Records which tickets of one owner were used and how their requests ended.
  *
- * Guards against non-idempotent work running twice when a caller sends it again: a ticket's requests all come to
- * its one owner, and begin() says Start once in the ticket's life. An entry is never evicted before its ticket
- * expires; when the table is full new claims are refused instead. An owner that was frozen is no danger, since no
- * other process may claim its tickets. Not thread safe.
+ * Prevents non-idempotent work from running twice when a caller resends it: all requests with a ticket go to its one
+ * owner, and begin() returns Start only once per ticket, unless the attempt ends as Outcome::NotRun. An entry is never
+ * evicted before its ticket expires; when the table is full, new claims are refused instead. A suspended owner that
+ * resumes later does no harm, because no other process may claim its tickets. Not thread safe.
  */
 class ClaimTable
 {
@@ -73,30 +73,35 @@
     /** @pre @p clock outlives the table. */
     ClaimTable(NodeRef self, const Clock &clock, ClaimLimits limits = {});
 
-    /** Decides about a request with @p ticket; on Start the claim is held from now on. @p ownAge: TicketIssuer::age().
+    /**
+     * Decides whether the request with @p ticket may run. On Start the claim is held from this call on. @p ownAge:
+     * TicketIssuer::age().
      */
     ClaimDecision begin(const Ticket &ticket, Millis ownAge, std::uint64_t requestDigest);
-    /** Ends a claim. NotRun frees the ticket for another attempt. @pre begin() said Start. */
-    void finish(const Ticket &ticket, ClaimResult end);
-    /** The end of a claim; null if it is running or not known. */
+    /**
+     * Stores the result of a claim. Outcome::NotRun releases the ticket for another attempt. @pre begin() returned
+     * Start.
+     */
+    void finish(const Ticket &ticket, ClaimResult result);
+    /** Returns the result of a claim, or null if it is running or unknown. */
     const ClaimResult *resultOf(const Ticket &ticket) const;
 
     /** Refuses new claims from now on. */
     void stopClaiming();
     std::size_t running() const;
     std::size_t size() const;
-    /** Every ended claim, for the successor. @pre stopClaiming() was called and running() is 0. */
+    /** Returns all finished claims for the successor. @pre stopClaiming() was called and running() is 0. */
     ClaimHandover handOver(Millis ownAge) const;
     /**
-     * Takes the place of owners that have stopped: their ended claims are repeated here, and their unused tickets
-     * start here. @pre only one node is ever named as an owner's successor.
+     * Takes over the tickets of owners that have stopped: responses of finished claims are replayed here, and unused
+     * tickets start here. @pre only one node is ever named as an owner's successor.
      */
     void adopt(const ClaimHandover &handover);
-    /** True if @p owner handed its claims to this node. */
+    /** Returns true if @p owner handed its claims over to this node. */
     bool hasAdopted(const NodeRef &owner) const;
-    /** Owners whose place this node holds, without itself. */
+    /** Returns the owners whose tickets this node took over, without itself. */
     std::vector<NodeRef> adoptedOwners() const;
-    /** Drops claims whose tickets have expired. */
+    /** Removes claims whose tickets have expired. */
     void expire();
 
 private:
@@ -109,14 +114,14 @@
         std::uint64_t digest = 0;
         bool running = true;
         bool responseStored = true;
-        ClaimResult end;
+        ClaimResult result;
         SteadyTime expiresAt;
     };
 
-    /** Age of an owner whose tickets are decided here; nothing if they are not. */
+    /** Returns the age of an owner whose tickets this table decides about, or nothing for any other owner. */
     std::optional<Millis> ageOf(const NodeRef &owner, Millis ownAge) const;
     ClaimDecision decisionFor(const Entry &entry, std::uint64_t digest) const;
-    void store(Entry &entry, ClaimResult end);
+    void store(Entry &entry, ClaimResult result);
 
     NodeRef self_;
     const Clock &clock_;
--- a/src/claim/ClaimTable.cpp
+++ b/src/claim/ClaimTable.cpp
@@ -44,13 +44,13 @@
     return "not-owner";
 }
 
-std::vector<ClaimHandover> splitHandover(const ClaimHandover &whole, std::size_t bytes)
+std::vector<ClaimHandover> splitHandover(const ClaimHandover &handover, std::size_t bytes)
 {
     std::vector<ClaimHandover> parts(1);
     std::size_t filled = 0;
-    for (const ClaimTransfer &claim : whole.claims) {
-        constexpr std::size_t perClaim = 32;
-        const std::size_t size = perClaim + claim.ticket.size() + bytesOf(claim.response);
+    for (const ClaimTransfer &claim : handover.claims) {
+        constexpr std::size_t overheadPerClaim = 32;
+        const std::size_t size = overheadPerClaim + claim.ticket.size() + bytesOf(claim.response);
         if (filled > 0 && filled + size > bytes) {
             parts.emplace_back();
             filled = 0;
@@ -58,7 +58,7 @@
         parts.back().claims.push_back(claim);
         filled += size;
     }
-    parts.back().owners = whole.owners;
+    parts.back().owners = handover.owners;
     return parts;
 }
 
@@ -76,7 +76,7 @@
     if (entry.running) {
         return ClaimDecision::Running;
     }
-    if (entry.end.outcome == Outcome::Unknown) {
+    if (entry.result.outcome == Outcome::Unknown) {
         return ClaimDecision::OutcomeUnknown;
     }
     return entry.responseStored ? ClaimDecision::Replay : ClaimDecision::ResponseNotStored;
@@ -107,7 +107,7 @@
     }
     const Millis ticketAge = *ownerAge - ticket.issuedAt;
     if (ticketAge >= limits_.validity) {
-        // Its entry may have been dropped already: starting it could run it a second time.
+        // The entry may have been removed already, so starting now could run the request a second time.
         return ClaimDecision::Expired;
     }
     if (stopping_) {
@@ -125,20 +125,20 @@
     return ClaimDecision::Start;
 }
 
-void ClaimTable::store(Entry &entry, ClaimResult end)
+void ClaimTable::store(Entry &entry, ClaimResult result)
 {
-    const std::size_t bytes = bytesOf(end.response);
+    const std::size_t bytes = bytesOf(result.response);
     entry.running = false;
     entry.responseStored = responseBytes_ + bytes <= limits_.responseBytes;
     if (!entry.responseStored) {
-        end.response = HttpResponse{};
+        result.response = HttpResponse{};
     } else {
         responseBytes_ += bytes;
     }
-    entry.end = std::move(end);
+    entry.result = std::move(result);
 }
 
-void ClaimTable::finish(const Ticket &ticket, ClaimResult end)
+void ClaimTable::finish(const Ticket &ticket, ClaimResult result)
 {
     const auto found = entries_.find(ticket.text());
     assert(found != entries_.end() && found->second.running);
@@ -146,17 +146,17 @@
         return;
     }
     --running_;
-    if (end.outcome == Outcome::NotRun) {
+    if (result.outcome == Outcome::NotRun) {
         entries_.erase(found);
         return;
     }
-    store(found->second, std::move(end));
+    store(found->second, std::move(result));
 }
 
 const ClaimResult *ClaimTable::resultOf(const Ticket &ticket) const
 {
     const auto found = entries_.find(ticket.text());
-    return found == entries_.end() || found->second.running ? nullptr : &found->second.end;
+    return found == entries_.end() || found->second.running ? nullptr : &found->second.result;
 }
 
 void ClaimTable::stopClaiming()
@@ -183,8 +183,8 @@
         handover.owners.push_back(ClaimOwner{owner, ageOf(owner, ownAge).value_or(adopted.age)});
     }
     for (const auto &[key, entry] : entries_) {
-        const Outcome outcome = entry.responseStored ? entry.end.outcome : Outcome::Unknown;
-        handover.claims.push_back(ClaimTransfer{key, entry.digest, outcome, entry.end.response});
+        const Outcome outcome = entry.responseStored ? entry.result.outcome : Outcome::Unknown;
+        handover.claims.push_back(ClaimTransfer{key, entry.digest, outcome, entry.result.response});
     }
     return handover;
 }
@@ -196,7 +196,7 @@
         adopted_[owner.ref] = Adopted{owner.age, now};
     }
     for (const ClaimTransfer &claim : handover.claims) {
-        // Held even above the limit of entries: a claim that were dropped here could be started again.
+        // Stored even above the limit of entries: a dropped claim could be started a second time.
         Entry entry;
         entry.digest = claim.requestDigest;
         entry.expiresAt = now + limits_.validity;
@@ -229,10 +229,10 @@
         const auto found = entries_.find(expiryQueue_.begin()->second);
         const bool isRunning = found != entries_.end() && found->second.running;
         if (isRunning) {
-            // Still running at its expiry: looked at again later, since finish() needs the entry.
+            // Still running at its expiry: checked again later, because finish() needs the entry.
             expiryQueue_.emplace(now + limits_.validity, found->first);
         } else if (found != entries_.end() && found->second.expiresAt <= now) {
-            responseBytes_ -= found->second.responseStored ? bytesOf(found->second.end.response) : 0;
+            responseBytes_ -= found->second.responseStored ? bytesOf(found->second.result.response) : 0;
             entries_.erase(found);
         }
         expiryQueue_.erase(expiryQueue_.begin());
