--- a/include/claim/Ticket.h
+++ b/include/claim/Ticket.h
@@ -10,31 +10,31 @@
 namespace waxwing {
 
 /**
- * An idempotency key that names the one process that may run the request: the incarnation that minted it.
- * Ownership is never dealt again, so no lease, list of members or store is needed to find or to keep it.
+ * An idempotency key that names the one process that may run the request: the incarnation that issued it. Ownership is
+ * never reassigned, so no lease, membership list or store is needed to find or to keep it.
  */
 struct Ticket {
     NodeRef owner;
-    /** Owner's monotonic time since its start; other nodes don't interpret it. */
+    /** Time since the owner's start by its monotonic clock; other nodes don't interpret it. */
     Millis issuedAt{0};
     std::uint64_t sequence = 0;
 
-    /** "wx1.ID.INCARNATION.MINTED.SEQUENCE", numbers in hexadecimal. Thread safe. */
+    /** Returns "wx1.ID.INCARNATION.MINTED.SEQUENCE" with the numbers in hexadecimal. Thread safe. */
     std::string text() const;
-    /** Errors: Malformed. Thread safe. */
+    /** Parses the format of text(). Errors: Malformed. Thread safe. */
     static Expected<Ticket> parse(const std::string &text);
-    /** True if @p text claims to be a ticket rather than a key of the caller's own. Thread safe. */
+    /** Returns true if @p text has the prefix of a ticket, so it is not a key of the caller's own. Thread safe. */
     static bool looksLikeTicket(const std::string &text);
 };
 
-/** Mints the tickets of one incarnation. Not thread safe. */
+/** Issues the tickets of one incarnation. Not thread safe. */
 class TicketIssuer
 {
 public:
-    /** @pre @p clock outlives the mint. */
+    /** @pre @p clock outlives the issuer. */
     TicketIssuer(NodeRef self, const Clock &clock);
     Ticket issue();
-    /** Time since this incarnation started, as written into tickets. */
+    /** Returns the time since this incarnation started, as it is written into tickets. */
     Millis age() const;
 
 private:
--- a/src/claim/Ticket.cpp
+++ b/src/claim/Ticket.cpp
@@ -35,7 +35,7 @@
     if (!looksLikeTicket(text)) {
         return fail(ErrorCode::Malformed, "a ticket begins with wx1.");
     }
-    // Node names may hold dots, so the numbers are taken from the end.
+    // Node names may contain dots, so the numbers are parsed from the end.
     std::string_view rest = std::string_view(text).substr(prefix.size());
     std::array<std::uint64_t, 3> numbers{};
     for (std::size_t i = numbers.size(); i-- > 0;) {
@@ -48,7 +48,7 @@
     Ticket ticket;
     ticket.owner = {std::string(rest), numbers[0]};
     if (!isValidName(ticket.owner.id) || numbers[1] > maxAgeMs) {
-        return fail(ErrorCode::Malformed, "not a ticket: bad node name or age");
+        return fail(ErrorCode::Malformed, "not a ticket: invalid node name or issue time");
     }
     ticket.issuedAt = Millis(static_cast<std::int64_t>(numbers[1]));
     ticket.sequence = numbers[2];
