--- a/include/intent/ClassIntent.h
+++ b/include/intent/ClassIntent.h
@@ -11,53 +11,55 @@
 
 namespace waxwing {
 
-/** How detection time is weighed against false ejections, in the words of an intent. */
+/** How an intent weighs detection time against false ejections. */
 enum class EjectionPolicy {
-    /** Detection time counts more: a sick server leaves on little evidence. */
+    /** Detection time counts more: a server is ejected on little evidence. */
     Fast,
     Balanced,
-    /** False ejections count more: a server leaves only on strong evidence. */
+    /** False ejections count more: a server is ejected only on strong evidence. */
     Careful,
 };
 
 const char *ejectionPolicyName(EjectionPolicy policy);
 
-/** Requests that belong to a class: those whose method is listed (none: all) and whose path begins with the prefix. */
+/** Selects requests whose method is listed (all methods if the list is empty) and whose path begins with the prefix. */
 struct RouteRule {
     std::vector<std::string> methods;
     std::string prefix;
 };
 
-/** How much healthy capacity must stay in service: a count of servers or a share of those that announced. */
+/**
+ * Healthy capacity that must stay in service: a number of servers or a share of the servers that announced themselves.
+ */
 struct CapacityFloor {
     std::uint32_t servers = 0;
     double share = 0.0;
 };
 
-/** What an operator wants for one class of work. Immutable after parsing. */
+/** An operator's intent for one class of work. Immutable after parsing. */
 struct ClassIntent {
     std::string name;
     std::vector<RouteRule> routes;
     bool idempotent = false;
-    /** A request that takes longer is late. */
+    /** A request that takes longer counts as late. */
     Millis responseTime{1000};
-    /** Share of requests that must succeed in time. */
+    /** Share of requests that must succeed within the response time. */
     double successRate = 0.99;
     CapacityFloor floor;
     EjectionPolicy policy = EjectionPolicy::Balanced;
-    /** A request that names no deadline gets this one. */
+    /** Deadline of requests that specify none. */
     Millis deadline{5000};
 };
 
-/** Every class of one service; the unit that operators write and that is checked as a whole. */
+/** All classes of one service. Operators write it as one document, which is validated as a whole. */
 struct ServiceIntent {
     std::string service;
     std::vector<ClassIntent> classes;
 
-    /** The class for a request, by longest matching prefix; null if none matches. */
+    /** Returns the class of a request by longest matching prefix, or null if none matches. */
     const ClassIntent *classFor(const std::string &method, const std::string &path) const;
     const ClassIntent *classNamed(const std::string &name) const;
-    /** The floor that satisfies every class. */
+    /** Returns a floor that satisfies every class. */
     CapacityFloor strictestFloor() const;
 };
 
@@ -65,7 +67,7 @@
 constexpr int intentSchema = 1;
 
 /**
- * Reads and checks one service's intents. Every fault is added to @p findings with its JSON pointer; the result is
+ * Parses and validates one service's intents. Every fault is added to @p findings with its JSON pointer; the result is
  * meaningful only if none was added. Thread safe.
  */
 ServiceIntent parseServiceIntent(const std::string &service, const nlohmann::json &document, Findings &findings);
--- a/src/intent/ClassIntent.cpp
+++ b/src/intent/ClassIntent.cpp
@@ -21,7 +21,10 @@
     return std::find(forbidden.begin(), forbidden.end(), key) != forbidden.end();
 }
 
-/** Operators state outcomes; weights and addresses are the system's business, so they get a finding of their own. */
+/**
+ * Rejects weights and server addresses with a finding of their own: operators state intents, and the system itself
+ * derives weights and learns addresses.
+ */
 void rejectWeightsAndAddresses(const nlohmann::json &value, const std::string &place, Findings &findings)
 {
     if (!value.is_object()) {
@@ -29,8 +32,8 @@
     }
     for (const auto &item : value.items()) {
         if (namesWeightOrAddress(item.key())) {
-            findings.add(place + "/" + item.key(),
-                         "weights and server addresses can't be set: state an intent, servers announce themselves");
+            findings.add(place + "/" + item.key(), "weights and server addresses can't be set: write an intent "
+                                                   "instead; servers announce their own addresses");
         }
     }
 }
@@ -120,7 +123,7 @@
         }
     }
     if (!reader.has("idempotent")) {
-        findings.add(reader.placeOf("idempotent"), "is missing: say whether running a request twice does harm");
+        findings.add(reader.placeOf("idempotent"), "is missing: state whether a request may safely run twice");
     }
     intent.idempotent = reader.boolean("idempotent", false);
     intent.responseTime = reader.duration("responseTime", intent.responseTime, Millis(1), std::chrono::hours(1));
@@ -168,7 +171,10 @@
     return wholeSegment && methodListed;
 }
 
-/** A longer prefix wins; of equal prefixes the one that names methods. */
+/**
+ * Returns the precedence of a matching rule: the longer prefix wins; between equal prefixes, the rule that lists
+ * methods.
+ */
 std::size_t specificity(const RouteRule &rule)
 {
     return rule.prefix.size() * 2 + (rule.methods.empty() ? 0 : 1);
@@ -239,7 +245,7 @@
                                     + std::to_string(intentSchema) + ")");
         return intent;
     }
-    // Written by the tool that made the change, so that it finds its own write after a lost answer.
+    // Written by waxwingctl, which recognises its own write by it after a lost response.
     reader.text("operation", {});
     const nlohmann::json &classes = reader.child("classes");
     if (!classes.is_object() || classes.empty()) {
