--- a/include/report/BurnRecorder.h
+++ b/include/report/BurnRecorder.h
@@ -9,7 +9,7 @@
 
 namespace waxwing {
 
-/** How requests of a class ended, as a caller saw it. */
+/** Numbers of requests of a class by result, as seen by the callers. */
 struct BurnCounts {
     std::uint32_t good = 0;
     std::uint32_t late = 0;
@@ -22,7 +22,7 @@
     void add(const BurnCounts &other);
 };
 
-/** How a request ended. */
+/** Result of one request. */
 enum class BurnResult {
     Good,
     Late,
@@ -31,7 +31,7 @@
     Unknown,
 };
 
-/** One slice of time of one class. */
+/** Counts of one class in one time slice. */
 struct BurnSlice {
     WallTime start;
     BurnCounts counts;
@@ -41,10 +41,9 @@
 using BurnSlices = std::vector<BurnSlice>;
 
 /**
- * Counts results by class and slice of time, for the report on service-level burn. Holds three days: the last
- * hour by five minutes, the last twelve by the hour, the rest by six hours, since an ingress meets every class of the
- * fleet and has little memory for each.
- * Not thread safe.
+ * Counts results by class and time slice for the report on service-level burn. Keeps three days: five-minute slices for
+ * the last hour, hourly slices for the last twelve hours and six-hour slices before that, because an ingress serves
+ * every class of the fleet and has little memory for each. Not thread safe.
  */
 class BurnRecorder
 {
@@ -59,9 +58,9 @@
     /** @pre @p clock outlives the recorder. */
     explicit BurnRecorder(const Clock &clock);
     void record(const std::string &service, const std::string &className, BurnResult result);
-    /** Slices by "service/class", oldest first. */
+    /** Returns the slices by "service/class", oldest first. */
     const std::map<std::string, BurnSlices> &slices() const;
-    /** JSON of all slices. */
+    /** Returns all slices as JSON. */
     std::string json() const;
 
 private:
@@ -71,14 +70,14 @@
     std::map<std::string, BurnSlices> slices_;
 };
 
-/** Burn of one class over one window: 1 means that the budget is spent exactly at the allowed rate. */
+/** Burn rate of one class over one window: 1 spends the error budget exactly at the allowed rate. */
 struct BurnRate {
     std::string label;
     BurnCounts counts;
     double burn = 0.0;
 };
 
-/** Burn over the last 1 h, 6 h and 3 d before @p now, for a target such as 0.999. Thread safe. */
+/** Returns the burn rates over the last 1 h, 6 h and 3 d before @p now for a target such as 0.999. Thread safe. */
 std::vector<BurnRate> burnRates(const BurnSlices &slices, double successRate, WallTime now);
 
 } // namespace waxwing
