--- a/include/node/Node.h
+++ b/include/node/Node.h
@@ -11,16 +11,14 @@
 
 namespace waxwing {
 
-/**
- * A whole node of the fleet: every service on one thread and one io_context. Not thread safe.
- */
+/** A node of the fleet, with all its services on one thread and one io_context. Not thread safe. */
 class Node
 {
 public:
     /**
-     * Builds the services and starts to listen. @p incarnation must grow with each start of the same node.
-     * Errors: Unavailable if a port can't be had. @pre the calling thread has the fiber scheduler of @p ioContext;
-     * @p clock outlives the node.
+     * Creates the services and starts to listen. @p incarnation must grow with each start of the same node. Errors:
+     * Unavailable if a port can't be bound. @pre the calling thread has the fiber scheduler of @p ioContext; @p clock
+     * outlives the node.
      */
     static Expected<std::unique_ptr<Node>> MakeStarted(boost::asio::io_context &ioContext, const Clock &clock,
                                                        const NodeSettings &settings, std::uint64_t incarnation);
@@ -28,13 +26,14 @@
     Node(const Node &) = delete;
     Node &operator=(const Node &) = delete;
 
-    /** Hands buffered log lines over. */
+    /** Flushes buffered log lines. */
     void flushLog();
-    /** Takes over what can change while running: limits and times. */
+    /** Applies the settings that may change at run time: limits and times. */
     void reload(const NodeSettings &settings);
     /**
-     * Graceful stop: takes no new work, sends its servers to other homes, hands over its claims, finishes what is in
-     * flight and tells the fleet. @pre called from a fiber. Returns false if work was still running at the time limit.
+     * Graceful shutdown: accepts no new work, redirects its servers to other homes, hands over its claims, finishes the
+     * requests in flight and announces to the fleet that it leaves. @pre called from a fiber. Returns false if work was
+     * still running at the time limit.
      */
     bool stop();
 
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -22,7 +22,7 @@
 
 constexpr Millis housekeepingInterval{1000};
 constexpr Millis stopPollInterval{20};
-/** News of the leaving travels this long before the links close. */
+/** Time for the leave record to reach other nodes before the links close. */
 constexpr Millis leaveGrace{150};
 
 } // namespace
@@ -69,7 +69,7 @@
     };
     peers = std::make_unique<PeerHub>(core.ioContext, core.clock, core.self, std::move(hooks));
     Expected<void> ok = kernel.provide("platform", platform);
-    // Each service finds the earlier ones by name while it is built.
+    // Each service looks up the earlier ones by name in its constructor.
     const auto add = [&](const std::string &name, auto &slot, auto make) {
         if (ok) {
             slot = make();
@@ -194,7 +194,7 @@
 
 void Node::reload(const NodeSettings &settings)
 {
-    // Names and addresses stay: others know the node by them.
+    // Names and addresses stay, because other nodes identify this node by them.
     parts_->core.settings.limits = settings.limits;
     parts_->core.settings.times = settings.times;
     parts_->core.events.write(Severity::Info, "settings_reloaded", {{"node", parts_->core.self.text()}});
--- a/src/node/NodeCore.h
+++ b/src/node/NodeCore.h
@@ -16,7 +16,7 @@
 
 namespace waxwing {
 
-/** What every service of a node shares. Registered in the kernel as "core". */
+/** State that all services of a node share. */
 struct NodeCore {
     NodeCore(boost::asio::io_context &context, const Clock &clockIn, NodeSettings settingsIn, std::uint64_t incarnation,
              std::uint64_t seed, std::size_t eventsKept = EventLog::defaultCapacity)
@@ -38,12 +38,12 @@
     HttpClient client;
     std::mt19937_64 random;
     Kernel kernel;
-    /** Set at the start of a graceful stop: no new work. */
+    /** Set when a graceful shutdown begins: no new work is accepted. */
     bool draining = false;
-    /** Set at its end: loops end when they see it. */
+    /** Set when a graceful shutdown ends: background loops exit. */
     bool stopping = false;
 
-    /** A service that must be there: a missing one is a fault of the node's own wiring. */
+    /** Returns a service that must exist. Aborts if it is missing, because that is a bug in the setup of the node. */
     template<typename T>
     T &service(const std::string &name)
     {
