--- a/src/node/ClaimService.cpp
+++ b/src/node/ClaimService.cpp
@@ -19,14 +19,14 @@
 constexpr Millis forwardGrace{200};
 constexpr Millis stopPollInterval{20};
 constexpr Millis ackTimeout{2000};
-/** Well under the largest message that a link takes. */
+/** Well below the largest message that a link accepts. */
 constexpr std::size_t handoverBytes = 1024UL * 1024;
 constexpr Millis boundKeyRetention = std::chrono::minutes(10);
 constexpr double minKeyBurst = 4.0;
 constexpr std::size_t maxBoundKeys = 10000;
 const std::string keyKind = "key";
 
-/** Object names are short and safe; the key itself stands in the value. */
+/** Returns the object name for a key: a hash, because object names must be short and restricted to safe characters. */
 std::string keyObjectName(const std::string &service, const std::string &key)
 {
     const std::string text = service + "\n" + key;
@@ -86,8 +86,8 @@
     if (known != boundKeys_.end()) {
         return *Ticket::parse(known->second.first);
     }
-    // Until the store has answered, an earlier attempt with this key through another node can't be ruled out, so
-    // these refusals say "unknown"; the key makes it safe to ask again.
+    // Until the object API has answered, an earlier attempt with this key through another node can't be ruled out, so
+    // these refusals report "unknown". The key makes a resend safe.
     if (!keyWrites_.tryTake(1.0, core_.clock.now())) {
         return refuse(Outcome::Unknown, "key-writes-spent");
     }
@@ -107,9 +107,10 @@
     case UpdateResult::Kind::NotStored:
         break;
     case UpdateResult::Kind::Unknown: {
-        // The write may have taken effect although its answer was lost: whichever ticket stands there is the one.
-        const auto standing = api.read(keyKind, name);
-        bound = standing && *standing ? ticketIn(**standing) : std::nullopt;
+        // The write may have taken effect although its response was lost: the ticket that is stored now is the one
+        // bound to the key.
+        const auto stored = api.read(keyKind, name);
+        bound = stored && *stored ? ticketIn(**stored) : std::nullopt;
         break;
     }
     }
@@ -155,7 +156,8 @@
     const NodeRecord *node = gossip.node(holder.id);
     const bool gone = node != nullptr && (holder.incarnation < node->ref.incarnation || node->state == NodeState::Left);
     if (!endpoint || gone) {
-        // The owner's memory went with it. An earlier attempt may have run, and nobody can tell any more.
+        // The owner's claims were lost with its process. An earlier attempt may have run, and its outcome can't be
+        // determined any more.
         core_.metrics.count("claims_owner_gone");
         return makeReply(Outcome::Unknown, gone || node == nullptr ? "ticket-owner-gone" : "ticket-owner-unknown",
                          Millis(0));
@@ -169,7 +171,7 @@
 
 void ClaimService::start(const Ticket &ticket, const Exec &exec, const ClassIntent &cls)
 {
-    // A fiber of its own: the claim goes on to its end although the attempt that began it may stop waiting.
+    // Runs in a fiber of its own: the claim completes even if the attempt that started it stops waiting.
     spawnFiber([this, ticket, exec, cls] {
         Exec work = exec;
         work.stage = ExecStage::Run;
@@ -202,10 +204,10 @@
 
 ExecReply ClaimService::replay(const Ticket &ticket) const
 {
-    const ClaimResult *end = table_.resultOf(ticket);
+    const ClaimResult *result = table_.resultOf(ticket);
     ExecReply reply = makeReply(Outcome::Ran, {}, Millis(0));
-    if (end != nullptr) {
-        reply.response = end->response;
+    if (result != nullptr) {
+        reply.response = result->response;
         reply.response.headers.emplace_back("Waxwing-Replayed", "true");
     }
     return reply;
@@ -293,11 +295,12 @@
         }
         const NodeRef successor = node->ref;
         const Endpoint endpoint{node->address, node->peerPort};
-        const bool taken = std::all_of(parts.begin(), parts.end(), [&](const ClaimHandover &part) {
+        const bool accepted = std::all_of(parts.begin(), parts.end(), [&](const ClaimHandover &part) {
             return peers.sendAcknowledged(successor, endpoint, part, ackTimeout).has_value();
         });
-        if (!taken) {
-            // It may have adopted them all the same, which does no harm: only the one that is named is ever asked.
+        if (!accepted) {
+            // The node may have adopted the claims all the same. That does no harm, because requests are sent only to
+            // the successor named in the record.
             continue;
         }
         const nlohmann::json body = {successor.id, successor.incarnation};
@@ -320,7 +323,8 @@
     for (auto it = boundKeys_.begin(); it != boundKeys_.end();) {
         it = now - it->second.second >= boundKeyRetention ? boundKeys_.erase(it) : std::next(it);
     }
-    // The store's writes don't grow with the fleet, so each node takes its share of a fixed rate.
+    // The write capacity of the object API doesn't grow with the fleet, so each node gets an equal share of a fixed
+    // rate.
     const auto nodes =
         static_cast<double>(std::max<std::size_t>(1, core_.service<GossipService>("gossip").upIds().size()));
     const double rate = core_.settings.limits.fleetKeyWritesPerSecond / nodes;
--- a/src/node/ClaimService.h
+++ b/src/node/ClaimService.h
@@ -18,9 +18,9 @@
 struct ClassIntent;
 
 /**
- * Runs keyed work at most once. A ticket's requests all go to the incarnation that minted it (or to the one that it
- * named when it stopped). A key of the caller's own is bound to a ticket by one conditional create in the object
- * API, so that both kinds follow one path afterwards. Not thread safe.
+ * Runs keyed work at most once. All requests with a ticket go to the incarnation that issued it, or to the successor
+ * that it named when it stopped. A caller's own key is bound to a ticket by one conditional create in the object API;
+ * from then on both kinds of key are handled alike. Not thread safe.
  */
 class ClaimService
 {
@@ -29,27 +29,36 @@
     explicit ClaimService(NodeCore &core);
 
     std::string issueTicket();
-    /** Runs keyed work, from whichever node it came in at. @pre called from a fiber; @p key is not empty. */
+    /**
+     * Runs keyed work that arrived at this node, whichever node owns its ticket. @pre called from a fiber; @p key is
+     * not empty.
+     */
     ExecReply run(const std::string &key, Exec exec, const ClassIntent &cls);
-    /** A Claim that another node passed on to this one as the owner. @pre called from a fiber. */
+    /**
+     * Claims and runs a request as the owner of its ticket, also when another node forwarded it as a Claim. @pre called
+     * from a fiber.
+     */
     ExecReply claimLocally(const Exec &exec, const ClassIntent &cls);
-    /** Takes a stopping node's claims. */
+    /** Takes over the claims of a stopping node. */
     void adopt(const ClaimHandover &handover);
-    /** Refuses new claims, waits for running ones and hands the rest to another node. @pre called from a fiber. */
+    /**
+     * Refuses new claims, waits for the running ones at most @p within, and hands the finished ones over to another
+     * node. @pre called from a fiber.
+     */
     void handOver(Duration within);
     void expire();
     std::size_t size() const;
     std::size_t running() const;
 
 private:
-    /** An attempt that waits for a running claim's end. */
+    /** An attempt that waits for the result of a running claim. */
     struct Waiter {
         FiberLatch latch;
         std::optional<ExecReply> reply;
     };
     using WaiterPtr = std::shared_ptr<Waiter>;
 
-    /** The ticket that a caller's own key is bound to, or the refusal. */
+    /** Returns the ticket that a caller's own key is bound to, or the refusal. */
     tl::expected<Ticket, ExecReply> bindKey(const std::string &key, const Exec &exec);
     ExecReply forwardToOwner(const NodeRef &holder, const Exec &exec);
     void start(const Ticket &ticket, const Exec &exec, const ClassIntent &cls);
@@ -63,7 +72,7 @@
     ClaimTable table_;
     std::map<std::string, std::vector<WaiterPtr>> waiters_;
     TokenBucket keyWrites_;
-    /** Keys that were bound lately, so that a resend to this node costs no call. */
+    /** Recently bound keys, so that a resend to this node needs no call to the object API. */
     std::map<std::string, std::pair<std::string, SteadyTime>> boundKeys_;
 };
 
