--- a/src/node/DispatchService.cpp
+++ b/src/node/DispatchService.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/** A home's verdict may come this much after the request's time, and is worth the wait: it tells run from not run. */
+/** Extra wait for a home's reply after the request's time limit: the reply tells whether the request ran. */
 constexpr Millis replyGrace{250};
 constexpr Millis minTimeLeft{2};
 constexpr int maxHomes = 4;
 constexpr unsigned firstServerError = 500;
-/** An idempotent request waits this many times its response time for a home that says nothing. */
+/** An idempotent request waits this many response times for a home that doesn't reply. */
 constexpr int homeTimeoutFactor = 2;
 
 bool isFinalReason(const std::string &reason)
@@ -108,7 +108,7 @@
         return *answer;
     }
     if (!control->cancelled) {
-        // Not an ejection: the home stays this node's last resort, and other nodes are not told.
+        // Not an ejection: this node still uses the home as a last resort, and other nodes are not notified.
         chooser_.notePathFailure(home.node, now);
         core_.events.write(Severity::Warning, "path_failed",
                            {{"home", home.node.text()}, {"service", exec.service}, {"reason", answer.error().reason}});
@@ -135,7 +135,7 @@
             core_.service<HomeService>("homes").addPeerEvidence(exec.service, late);
         }
     }
-    // A refusal is no fault of the home's servers, and the cost of load covers it.
+    // A refusal is not a failure of the home's servers; the load term of the home's cost accounts for it.
     const bool failed = reply.outcome == Outcome::Unknown
                         || (reply.outcome == Outcome::Ran && reply.response.status >= firstServerError);
     chooser_.noteDone(exec.service, home.node, failed, core_.clock.now());
@@ -158,7 +158,8 @@
         const std::vector<HomeCandidate> all = candidates(exec.service);
         const HomeCandidate *home = chooser_.choose(exec.service, all, tried, now);
         const auto left = std::chrono::duration_cast<Millis>(deadline - now);
-        // A refusal cost the home nothing, so moving on to a home with room is not a retry; a silent home is one.
+        // A refusal cost the home nothing, so going on to a home with free capacity is not a retry. After a home that
+        // did not reply, it is one.
         const bool isRetry = reply.outcome == Outcome::Unknown;
         if (home == nullptr || left < minTimeLeft || (isRetry && !budget.tryRetry())) {
             break;
@@ -167,7 +168,7 @@
         next.remaining = left;
         const ExecReply answer = runAt(*home, next, cls, control);
         tried.insert(home->node);
-        // The answer of a home that ran it, or its reason for a refusal, outranks "no room" at the next one.
+        // The reply of a home that may have run the request takes precedence over a refusal by the next home.
         const bool keepEarlier = homes > 0 && answer.outcome == Outcome::NotRun && mayHaveRun;
         if (!keepEarlier) {
             reply = answer;
--- a/src/node/DispatchService.h
+++ b/src/node/DispatchService.h
@@ -15,19 +15,19 @@
 struct NodeCore;
 struct ClassIntent;
 
-/** Finds a home for a request and has it run there, here or over a link. Not thread safe. */
+/** Chooses a home for a request and runs it there, on this node or over a link. Not thread safe. */
 class DispatchService
 {
 public:
     /** @pre "gossip", "homes" and "peers" are in the kernel. */
     explicit DispatchService(NodeCore &core);
     /**
-     * Runs @p exec at some home. Work that is not idempotent goes to another home only after the first one said, or
-     * it is otherwise known, that it was not run. Waits a little longer than the request's time for a home's own
-     * verdict. @pre called from a fiber.
+     * Runs @p exec at a home. Non-idempotent work goes to another home only if the first home reported that the request
+     * was not run, or this is certain for another reason. Waits slightly longer than the request's remaining time for
+     * the home's own reply. @pre called from a fiber.
      */
     ExecReply run(const Exec &exec, const ClassIntent &cls, const RunControlPtr &control);
-    /** Forgets what is old. Call about once a second. */
+    /** Removes stale load and path data. Call about once a second. */
     void expire();
 
 private:
