--- a/src/node/FloorService.cpp
+++ b/src/node/FloorService.cpp
@@ -45,14 +45,14 @@
     }
     readAt_[service] = now;
     calls_.take(1.0, now);
-    const auto standing = core_.service<ObjectApi>("platform").read(pledgeKind, service);
-    if (!standing) {
+    const auto stored = core_.service<ObjectApi>("platform").read(pledgeKind, service);
+    if (!stored) {
         return false;
     }
-    const Expected<PledgeTable> sheet =
-        *standing ? PledgeTable::parse((*standing)->version, (*standing)->value) : PledgeTable{};
-    if (sheet) {
-        home.floor().updateTable(*sheet);
+    const Expected<PledgeTable> table =
+        *stored ? PledgeTable::parse((*stored)->version, (*stored)->value) : PledgeTable{};
+    if (table) {
+        home.floor().updateTable(*table);
     }
     return true;
 }
@@ -60,7 +60,8 @@
 bool FloorService::writeProposal(const std::string &service, ServiceHome &home)
 {
     HomeFloor &floor = home.floor();
-    // Were every home to take over a gone home's pledge, the loss of a zone would bring one write for each pair.
+    // Only one home absorbs the pledges of homes that are gone. If every home did, the loss of a zone would cause one
+    // write for each pair of homes.
     std::vector<std::string> homes;
     for (const NodeRecord *node : core_.service<GossipService>("gossip").homesOf(service)) {
         homes.push_back(node->ref.id);
@@ -105,7 +106,7 @@
         const Millis jitter(static_cast<std::int64_t>(core_.random() % static_cast<std::uint64_t>(pause.count())));
         sleepFor(core_.ioContext, pause / 2 + jitter);
         bool reached = true;
-        // The store's rates don't grow with the fleet, so each node takes its share of a fixed rate.
+        // The capacity of the object API doesn't grow with the fleet, so each node gets an equal share of a fixed rate.
         const auto nodes =
             static_cast<double>(std::max<std::size_t>(1, core_.service<GossipService>("gossip").upIds().size()));
         calls_.setRate(core_.settings.limits.fleetPledgeCallsPerSecond / nodes, callBurst);
--- a/src/node/FloorService.h
+++ b/src/node/FloorService.h
@@ -12,8 +12,8 @@
 class ServiceHome;
 
 /**
- * Writes this node's pledges to the object API, one conditional update at a time and with a pause that grows while
- * the store is away. Not thread safe.
+ * Writes this node's pledges to the object API, one conditional update at a time, with exponential backoff while the
+ * object API is unreachable. Not thread safe.
  */
 class FloorService
 {
@@ -24,7 +24,7 @@
 
 private:
     void loop();
-    /** Both return false if the store could not be reached. */
+    /** Both return false if the object API could not be reached. */
     bool readIfNeeded(const std::string &service, ServiceHome &home);
     bool writeProposal(const std::string &service, ServiceHome &home);
 
