--- a/src/node/GossipService.cpp
+++ b/src/node/GossipService.cpp
@@ -12,14 +12,16 @@
 
 namespace {
 
-/** Changes are gathered for this long, so that a burst travels in few messages. */
+/** Changes are batched for this long, so that a burst needs few messages. */
 constexpr Millis flushInterval{30};
-/** Poison and successor records carry their time as the version and are dropped when they are older. */
+/**
+ * Poison and successor records carry their creation time as the version and are dropped once they are older than this.
+ */
 constexpr Millis shortLivedRetention = std::chrono::hours(2);
-/** A node's own records stay below this; its last word is above every guess of others. */
+/** Sequence of the record with which a node leaves: above every sequence that the node itself or others use for it. */
 constexpr std::uint64_t leftSequence = 1ULL << 40;
 constexpr std::size_t maxRecordsPerMessage = 500;
-/** Below this a record is hardly larger than its name. */
+/** A smaller record is hardly larger than its name. */
 constexpr std::size_t largePayload = 120;
 constexpr std::size_t eagerPartners = 3;
 constexpr Millis fetchDelay{150};
@@ -29,7 +31,7 @@
     return static_cast<std::uint64_t>(std::chrono::duration_cast<Millis>(clock.wallNow().time_since_epoch()).count());
 }
 
-/** Cuts a list into messages of a bounded size. */
+/** Splits a list into messages of bounded size. */
 std::vector<RecordsPush> splitIntoMessages(const std::vector<Record> &records)
 {
     std::vector<RecordsPush> out;
@@ -109,7 +111,7 @@
     if (table_.merge(record)) {
         outbox_[{record.kind, record.key}] = {from.id};
     } else {
-        // The sender has it already, so it need not be told.
+        // The sender already has this record, so it is not sent back.
         const auto waiting = outbox_.find({record.kind, record.key});
         if (waiting != outbox_.end()) {
             waiting->second.insert(from.id);
@@ -209,11 +211,11 @@
     }
     PeerHub &peers = core_.service<PeerHub>("peers");
     const std::vector<std::string> all = partners();
-    std::map<std::string, std::vector<Record>> whole;
-    std::map<std::string, RecordNames> named;
+    std::map<std::string, std::vector<Record>> fullRecords;
+    std::map<std::string, RecordNames> namesOnly;
     for (const Record &record : records) {
-        // Large records go whole to a few partners only; the others get the name and ask if they still lack it. With
-        // every partner sent the whole record, each node would receive it about log2(n) times.
+        // Large records are sent in full to a few partners only; the others get the name and request the record if they
+        // still lack it. If every partner got the full record, each node would receive it about log2(n) times.
         const bool large = record.payload.size() > largePayload;
         const std::string topic = record.key + "/" + hexText(record.version.major);
         const std::vector<std::string> eager = large ? firstByHash(topic + core_.self.id, all, eagerPartners) : all;
@@ -222,26 +224,27 @@
                 continue;
             }
             if (std::find(eager.begin(), eager.end(), id) != eager.end()) {
-                whole[id].push_back(record);
+                fullRecords[id].push_back(record);
             } else {
-                named[id].names.push_back(RecordName{record.kind, record.key, record.version});
+                namesOnly[id].names.push_back(RecordName{record.kind, record.key, record.version});
             }
         }
     }
     const auto sendTo = [&](const std::string &id, const Message &message) {
         if (const NodeRecord *to = node(id)) {
-            // Opening a link may take a while; one slow partner must not hold up the others.
+            // Opening a link may take a while, so each send has its own fiber: a slow partner must not delay the
+            // others.
             spawnFiber([&peers, ref = to->ref, endpoint = Endpoint{to->address, to->peerPort}, message] {
                 (void)peers.send(ref, endpoint, message);
             });
         }
     };
-    for (const auto &[id, list] : whole) {
+    for (const auto &[id, list] : fullRecords) {
         for (const RecordsPush &part : splitIntoMessages(list)) {
             sendTo(id, part);
         }
     }
-    for (const auto &[id, names] : named) {
+    for (const auto &[id, names] : namesOnly) {
         sendTo(id, names);
     }
 }
@@ -261,7 +264,8 @@
         }
         return true;
     }
-    // The whole record is probably on its way over another partner: ask only if it has not come shortly.
+    // The full record is probably on its way from another partner, so it is requested only if it has not arrived after
+    // fetchDelay.
     spawnFiber([this, &peers, link, names] {
         sleepFor(core_.ioContext, fetchDelay);
         RecordNames want;
--- a/src/node/GossipService.h
+++ b/src/node/GossipService.h
@@ -16,9 +16,9 @@
 struct NodeCore;
 
 /**
- * Spreads records over the fleet and keeps what they say of its nodes. Changes are pushed along the ring's partners at
- * once; every few seconds one partner's summary is compared, which repairs what a lost link or an outage left out. A
- * node that finds itself declared down refutes it. Not thread safe.
+ * Distributes records over the fleet and tracks the state of its nodes from them. Changes are pushed to the ring's
+ * partners at once; every few seconds the table's digest is compared with one partner's, which repairs what a lost link
+ * or an outage left out. A node that finds itself declared down refutes it. Not thread safe.
  */
 class GossipService
 {
@@ -27,36 +27,36 @@
 
     explicit GossipService(NodeCore &core);
 
-    /** Called for each record of @p kind that was taken; register before start(). */
+    /** Registers a hook that is called for each record of @p kind that was merged. Call before start(). */
     void onRecord(RecordKind kind, RecordHook hook);
-    /** Starts the loops. @pre the core's kernel holds "peers". */
+    /** Starts the push and anti-entropy loops. @pre the core's kernel holds "peers". */
     void start();
-    /** Tells the fleet that this node leaves. @pre called from a fiber. */
+    /** Announces to the fleet that this node leaves. @pre called from a fiber. */
     void leave();
 
-    /** Takes a record of this node's own making and spreads it. */
+    /** Stores a record that this node created and queues it for the next push. */
     void publish(const Record &record);
-    /** As publish(), but sent at once instead of with the next batch. */
+    /** Like publish(), but pushes the record at once instead of with the next batch. */
     void publishNow(const Record &record);
-    /** Services homed here and their servers in service; spread when they change. */
+    /** Sets the services homed here and their numbers of servers in service; published when they change. */
     void publishServices(std::map<std::string, std::uint32_t> services);
-    /** Handles a gossip message. Returns false if it is of another kind. */
+    /** Handles a gossip message. Returns false for messages of another kind. */
     bool handle(LinkId link, const NodeRef &from, const Message &message);
 
     const RecordTable &table() const;
-    /** The record of a node's current incarnation; null if unknown. */
+    /** Returns the record of a node's current incarnation, or null if unknown. */
     const NodeRecord *node(const std::string &id) const;
-    /** Every node known, also the ones that are down. */
+    /** Returns every known node, including those that are down. */
     std::vector<const NodeRecord *> nodes() const;
-    /** Ids of the nodes that are up, with this one. */
+    /** Returns the ids of the nodes that are up, including this one. */
     std::vector<std::string> upIds() const;
-    /** Homes with servers of @p service, this node included. */
+    /** Returns the homes with servers of @p service, including this node. */
     std::vector<const NodeRecord *> homesOf(const std::string &service) const;
-    /** Nodes that this one keeps links to. */
+    /** Returns the nodes that this one keeps links to. */
     std::vector<std::string> partners() const;
     bool isUp(const NodeRef &ref) const;
     std::optional<Endpoint> peerEndpoint(const NodeRef &ref) const;
-    /** The incarnation that holds the claims of @p owner, following the chain of successors. */
+    /** Returns the incarnation that holds the claims of @p owner, following the chain of successors. */
     NodeRef claimHolder(const NodeRef &owner) const;
     bool hasLeft() const;
 
@@ -77,7 +77,7 @@
     RecordTable table_;
     std::map<RecordKind, std::vector<RecordHook>> hooks_;
     std::map<std::string, NodeRecord> nodes_;
-    /** Homes by service, kept with nodes_. */
+    /** Ids of the homes by service; updated together with nodes_. */
     std::map<std::string, std::set<std::string>> homes_;
     NodeRecord own_;
     std::uint64_t sequence_ = 1;
