--- a/src/node/HomeService.cpp
+++ b/src/node/HomeService.cpp
@@ -24,7 +24,7 @@
 constexpr const char *notRunHeader = "Waxwing-Not-Run";
 constexpr const char *deadlineHeader = "Waxwing-Deadline-Ms";
 
-/** 501 and 505 speak of the request, 503 of load; the rest are faults of the server. */
+/** 501 and 505 are caused by the request and 503 by load; every other 5xx is a failure of the server. */
 bool isServerFault(unsigned status)
 {
     return status >= firstServerError && status != unavailable && status != 501 && status != 505;
@@ -49,7 +49,7 @@
 
 } // namespace
 
-/** A request on its way through this home. */
+/** State of one request at this home. */
 struct HomeService::RunState {
     const Exec &exec;
     RunControlPtr control;
@@ -61,7 +61,7 @@
     SteadyTime deadline;
     std::set<std::string> tried;
     std::string server;
-    /** Set once a byte may have reached a server that did not say that it was not run. */
+    /** Set once a byte may have reached a server that did not report the request as not run. */
     bool mayHaveRun = false;
     ExecReply reply;
 
@@ -140,11 +140,11 @@
                             {"server", announcement.server},
                             {"incarnation", std::to_string(announcement.incarnation)},
                             {"state", serverStateName(announcement.state)}});
-        for (const UnconfirmedDeath &suspect : unconfirmedDeaths_) {
-            const bool sameServer = suspect.service == announcement.service && suspect.server == announcement.server;
-            if (sameServer && suspect.incarnation != announcement.incarnation) {
-                core_.service<PoisonService>("poison").noteDeath(
-                    suspect.digest, suspect.server + "@" + std::to_string(suspect.incarnation));
+        for (const UnconfirmedDeath &death : unconfirmedDeaths_) {
+            const bool sameServer = death.service == announcement.service && death.server == announcement.server;
+            if (sameServer && death.incarnation != announcement.incarnation) {
+                core_.service<PoisonService>("poison").noteDeath(death.digest, death.server + "@"
+                                                                                   + std::to_string(death.incarnation));
             }
         }
     } else if (before && before->state != announcement.state) {
@@ -258,7 +258,7 @@
         }
     }
     if (!died && !abandoned && error.failure != ExchangeFailure::Timeout) {
-        // A time-out needs no evidence of its own: the steps of lateness have given it while the request ran.
+        // A timeout adds no evidence here: recordLateness() added it in steps while the request ran.
         run.home->addEvidence(run.server, Evidence::Failed, now);
     }
     const bool late = error.failure == ExchangeFailure::Timeout;
@@ -302,9 +302,9 @@
     const SteadyTime now = core_.clock.now();
     run.home->release(run.id, run.server, now - started);
     if (!answer) {
-        const bool again = handleFailure(run, finished, answer.error(), incarnation);
+        const bool retry = handleFailure(run, finished, answer.error(), incarnation);
         pollQueue(*run.home);
-        return again;
+        return retry;
     }
     run.reply.server = run.server;
     if (isNotRunResponse(*answer)) {
@@ -349,18 +349,18 @@
     run.deadline = core_.clock.now() + exec.remaining;
     budgets_[exec.service].noteAttempt();
     ++running_;
-    bool again = true;
-    while (again) {
+    bool retry = true;
+    while (retry) {
         const ExecReply before = run.reply;
         const bool hadAnswer = before.outcome == Outcome::Ran;
         if (!admit(run)) {
             if (hadAnswer) {
-                // A second try found no server: the first one's answer stands.
+                // The retry found no server, so the first response is returned.
                 run.reply = before;
             }
             break;
         }
-        again = attempt(run);
+        retry = attempt(run);
     }
     --running_;
     const SteadyTime now = core_.clock.now();
@@ -380,11 +380,11 @@
     for (; attempt.lateSteps < steps; ++attempt.lateSteps) {
         const Evidence evidence = attempt.lateSteps == 0 ? Evidence::Late : Evidence::StillWaiting;
         home->second->addEvidence(attempt.server, evidence, now);
-        const bool worthMoving = attempt.lateSteps == 0 && attempt.idempotent && !attempt.retriedElsewhere;
+        const bool mayMove = attempt.lateSteps == 0 && attempt.idempotent && !attempt.retriedElsewhere;
         std::set<std::string> tried = attempt.tried;
         tried.insert(attempt.server);
-        if (worthMoving && home->second->hasFreeSlotExcluding(tried, now) && budgets_[attempt.service].tryRetry()) {
-            // Idempotent work needn't wait for a server that stalls: it is cancelled there and tried elsewhere.
+        if (mayMove && home->second->hasFreeSlotExcluding(tried, now) && budgets_[attempt.service].tryRetry()) {
+            // Idempotent work doesn't wait for a stalled server: it is cancelled there and retried at another one.
             attempt.retriedElsewhere = true;
             core_.metrics.count("late_requests_moved");
             if (attempt.control->interrupt) {
--- a/src/node/HomeService.h
+++ b/src/node/HomeService.h
@@ -17,8 +17,8 @@
 class FiberLatch;
 
 /**
- * Home of the backend servers that announced themselves here: the only process that hands them work. The decisions
- * are ServiceHome's; this service carries them out over HTTP. Not thread safe.
+ * Home of the backend servers that announced themselves here: the only process that hands them work. ServiceHome makes
+ * the decisions, and this service carries them out over HTTP. Not thread safe.
  */
 class HomeService
 {
@@ -29,23 +29,23 @@
     /** Handles a server's announcement; @p body is its JSON. */
     HttpResponse announce(const std::string &body);
     /**
-     * Hands the request to a server and returns how it ended. A request that is not idempotent is handed over at
-     * most once, unless it is known that no byte of it reached the first server or that server said that it did not
-     * run it. @pre called from a fiber.
+     * Sends the request to a server and returns its result. A non-idempotent request is sent at most once, unless it is
+     * certain that no byte of it reached the first server or that server reported that it did not run it. @pre called
+     * from a fiber.
      */
     ExecReply run(const Exec &exec, const RunControlPtr &control);
-    /** Servers that this node is home to. */
+    /** Returns the homes of this node by service, with their servers. */
     const std::map<std::string, std::unique_ptr<ServiceHome>> &homes() const;
-    /** What ingress learned of other homes' servers. */
+    /** Adds the result of a request that this node sent to another home's server. */
     void addPeerEvidence(const std::string &service, bool bad);
-    /** Tells servers, as they announce, to find another home. */
+    /** Asks servers, in the replies to their announcements, to move to another home. */
     void redirectServers();
     std::size_t running() const;
-    /** Servers still announced here and not yet gone elsewhere. */
+    /** Returns the number of servers that are announced here and have not moved to another home yet. */
     std::size_t presentServers() const;
 
 private:
-    /** One hand-over to one server. */
+    /** One attempt of a request at one server. */
     struct Attempt {
         std::string service;
         std::string server;
@@ -57,7 +57,10 @@
         std::set<std::string> tried;
         RunControlPtr control;
     };
-    /** A request that failed without an answer; whether its server died with it shows when that one returns. */
+    /**
+     * A request that failed without a response. Whether its server crashed becomes known when that server announces
+     * itself again with another incarnation.
+     */
     struct UnconfirmedDeath {
         std::string service;
         std::string server;
@@ -78,9 +81,9 @@
     void publishServices();
     void recordLateness(Attempt &attempt, SteadyTime now);
     void pollQueue(ServiceHome &home);
-    /** Waits for a server; false with the reply set if there is none to be had. */
+    /** Waits for a free server. Returns false with the reply set if there is none. */
     bool admit(RunState &run);
-    /** One hand-over; true if another server should be tried. */
+    /** Sends the request to one server. Returns true if another server should be tried. */
     bool attempt(RunState &run);
     bool handleFailure(RunState &run, const Attempt &attempt, const ExchangeError &error, std::uint64_t incarnation);
     bool mayRetry(RunState &run);
