--- a/src/node/IngressService.cpp
+++ b/src/node/IngressService.cpp
@@ -35,7 +35,7 @@
     return named.empty() ? withoutPort(headerValue(request.headers, "Host")) : std::string(named);
 }
 
-/** The status that tells a caller how a request ended that no server answered. */
+/** Returns the HTTP status for a request that has no server response to return. */
 unsigned statusOf(const ExecReply &reply)
 {
     if (reply.reason == "request-ends-servers" || reply.reason == "other-request") {
@@ -149,7 +149,7 @@
 ExecReply IngressService::runAdmitted(const Admitted &admitted, const CallerWatchPtr &caller)
 {
     if (!admitted.key.empty()) {
-        // Goes on without its caller, who may send it again and wants the same answer then.
+        // Keyed work continues without its caller, who may resend it and then expects the same response.
         return core_.service<ClaimService>("claims").run(admitted.key, admitted.exec, *admitted.cls);
     }
     const auto control = std::make_shared<RunControl>();
@@ -211,7 +211,8 @@
 {
     spawnFiber([this, link, exec] {
         ExecReply reply;
-        // Without the class an owner can't say that an earlier attempt was not run; a home can.
+        // Without the class, the owner of a ticket can't rule out an earlier attempt, so it reports Unknown. A home can
+        // report NotRun.
         reply.outcome = exec.stage == ExecStage::Claim ? Outcome::Unknown : Outcome::NotRun;
         reply.reason = "unknown-class";
         reply.retryAfter = Millis(500);
--- a/src/node/IngressService.h
+++ b/src/node/IngressService.h
@@ -17,8 +17,8 @@
 struct ServiceIntent;
 
 /**
- * Callers' side of a node: finds the class of a request, has it run, and tells the caller how it ended in the
- * status and in the header Waxwing-Outcome. Every refusal is answered at once. Not thread safe.
+ * Caller-facing side of a node: classifies each request, runs it, and reports how it ended in the status and in the
+ * header Waxwing-Outcome. Refusals are sent at once. Not thread safe.
  */
 class IngressService
 {
@@ -27,9 +27,9 @@
     explicit IngressService(NodeCore &core);
     /** Handles one caller's request. @pre called from a fiber. */
     HttpReply handle(HttpRequest request, const CallerWatchPtr &caller);
-    /** Handles an Exec that another node sent; answers on its link. */
+    /** Handles an Exec from another node and replies on its link. */
     void handleExec(LinkId link, const Exec &exec);
-    /** The other node no longer wants the answer. */
+    /** Cancels an Exec whose reply the other node no longer needs. */
     void handleCancel(LinkId link, std::uint64_t id);
     std::size_t running() const;
 
