--- a/src/node/IntentService.cpp
+++ b/src/node/IntentService.cpp
@@ -71,7 +71,8 @@
             parsed = parseServiceIntent(record.key, document, findings);
         }
         if (!findings.empty()) {
-            // Written past the checks or by a newer release: the version in force stays, and says why.
+            // The object was written without validation or by a newer release: the version in force stays, and the
+            // findings are reported.
             entry.refusal = findings.text();
             core_.events.write(Severity::Error, "config_refused",
                                {{"service", record.key}, {"revision", revision}, {"findings", entry.refusal}});
@@ -107,7 +108,7 @@
         const Expected<ObjectChanges> changes = api.watch(serviceKind, WatchCall{since, core_.settings.times.watch});
         if (!changes) {
             core_.metrics.count("platform_watch_failures");
-            // Jitter: after an outage not every watcher comes back at the same moment.
+            // Jitter keeps the watchers from reconnecting all at once after an outage.
             const Millis pause(static_cast<std::int64_t>(core_.random() % static_cast<std::uint64_t>(backoff.count())));
             sleepFor(core_.ioContext, backoff / 2 + pause);
             backoff = std::min(maxBackoff, backoff * 2);
--- a/src/node/IntentService.h
+++ b/src/node/IntentService.h
@@ -17,29 +17,32 @@
 extern const char *const serviceKind;
 
 /**
- * The configuration in force at this node. A few nodes, found by a hash that all compute alike, watch the object
- * API; the others learn through gossip, so that the number of waiting watches doesn't grow with the fleet. A
- * version is replaced only by a higher one, so configuration never goes back, whatever order news comes in.
- * Not thread safe.
+ * The configuration in force at this node. A few nodes, chosen by a hash that every node computes alike, watch the
+ * object API. The others receive updates by gossip, so the number of open watches doesn't grow with the fleet. A
+ * version is replaced only by a higher one, so configuration never goes back, whatever the order in which updates
+ * arrive. Not thread safe.
  */
 class IntentService
 {
 public:
     using ChangeHook = std::function<void(const std::string &service)>;
 
-    /** Registers for records. @pre "gossip" is in the kernel. */
+    /** Registers for gossip records. @pre "gossip" is in the kernel. */
     explicit IntentService(NodeCore &core);
     void start();
     void onChange(ChangeHook hook);
 
-    /** Null if no valid intent is in force. */
+    /** Returns the intents of a service, or null if no valid version is in force. */
     std::shared_ptr<const ServiceIntent> find(const std::string &service) const;
-    /** Revision in force of each service; deleted ones are included, as are ones whose newest version was refused. */
+    /**
+     * Returns the newest revision of each service, including deleted services and services whose newest version was
+     * refused.
+     */
     std::map<std::string, std::uint64_t> revisions() const;
-    /** Findings of the newest version, if it was refused; else empty. */
+    /** Returns the findings of the newest version if it was refused, else an empty string. */
     std::string refusal(const std::string &service) const;
     std::size_t size() const;
-    /** True once any configuration was learned. */
+    /** Returns true once any configuration has been received. */
     bool hasAny() const;
 
 private:
