--- a/src/node/MembershipService.cpp
+++ b/src/node/MembershipService.cpp
@@ -102,7 +102,7 @@
                 joinThrough(seed);
             }
         }
-        // Nodes that were declared down may only have been cut off: both halves must find each other again.
+        // Nodes that were declared down may only have been partitioned, and both sides must be able to join again.
         std::vector<Endpoint> down;
         for (const NodeRecord *one : gossip_.nodes()) {
             if (one->state == NodeState::Down) {
--- a/src/node/MembershipService.h
+++ b/src/node/MembershipService.h
@@ -12,16 +12,16 @@
 class GossipService;
 
 /**
- * Finds the fleet at the start, through the object API or through peers that the settings name, and watches the ring's
- * partners: one that stops answering is declared down. Membership is a matter of preference only: no promise rests on
- * two nodes agreeing about it. Not thread safe.
+ * Joins the fleet at the start, through the object API or the seeds in the settings, and pings the ring's partners: one
+ * that stops answering is declared down. Membership affects preference only: no guarantee depends on two nodes agreeing
+ * about it. Not thread safe.
  */
 class MembershipService
 {
 public:
     /** @pre "gossip", "peers" and "platform" are in the kernel. */
     explicit MembershipService(NodeCore &core);
-    /** Starts the loops. @pre the gossip service has started. */
+    /** Starts the join and ping loops. @pre the gossip service has started. */
     void start();
 
 private:
