--- a/src/node/OperatorApi.cpp
+++ b/src/node/OperatorApi.cpp
@@ -41,7 +41,7 @@
     return list;
 }
 
-/** Resident memory of this process in bytes. */
+/** Returns the resident memory of this process in bytes. */
 std::uint64_t residentBytes()
 {
     std::ifstream file("/proc/self/statm");
@@ -111,7 +111,7 @@
         }
         return reply(404, dump({{"error", "unknown path"}, {"known", "POST /v1/announce, GET" + known}}));
     }
-    // Every view has at most one argument, whatever its name.
+    // Every view takes at most one argument, under any name.
     const std::size_t equals =
         request.target.find('=', queryStart == std::string::npos ? request.target.size() : queryStart);
     const std::string argument = equals == std::string::npos ? "" : request.target.substr(equals + 1);
--- a/src/node/OperatorApi.h
+++ b/src/node/OperatorApi.h
@@ -10,7 +10,7 @@
 
 struct NodeCore;
 
-/** The node's endpoint for backend servers' announcements and for operators' tools. Not thread safe. */
+/** HTTP API of a node for announcements of backend servers and for operators' tools. Not thread safe. */
 class OperatorApi
 {
 public:
