--- a/src/node/PoisonService.cpp
+++ b/src/node/PoisonService.cpp
@@ -27,7 +27,7 @@
         Severity::Warning, "server_died_with_request",
         {{"server", server}, {"digest", hexText(digest)}, {"deaths", std::to_string(registry_.deaths(digest))}});
     const Record record = toRecord(PoisonDeath{digest, server}, core_.clock.wallNow());
-    // At once rather than with the next batch: the caller may send the same request to another node.
+    // Sent at once rather than with the next batch, because the caller may resend the request to another node.
     broadcast_(record);
 }
 
--- a/src/node/PoisonService.h
+++ b/src/node/PoisonService.h
@@ -10,17 +10,17 @@
 
 struct NodeCore;
 
-/** Shares deaths of servers with the request that ran in them among all nodes. Not thread safe. */
+/** Distributes the deaths of servers, each with the request that was running, to all nodes. Not thread safe. */
 class PoisonService
 {
 public:
-    /** Tells the other nodes, at once. */
+    /** Sends a record to the other nodes at once. */
     using BroadcastHook = std::function<void(const Record &)>;
 
     PoisonService(NodeCore &core, BroadcastHook broadcast);
-    /** Another node's record of a death. */
+    /** Applies another node's record of a death. */
     void applyRecord(const Record &record);
-    /** A server died while it ran the request of this digest. @p server includes its incarnation. */
+    /** Records that a server died while it ran the request with this digest. @p server includes its incarnation. */
     void noteDeath(std::uint64_t digest, const std::string &server);
     bool mustRefuse(std::uint64_t digest) const;
     std::size_t deaths(std::uint64_t digest) const;
--- a/src/node/RunControl.h
+++ b/src/node/RunControl.h
@@ -7,16 +7,19 @@
 
 namespace waxwing {
 
-/** Lets the caller's side end a running request: its connection closed or its node sent a Cancel. */
+/** Cancels a request from the caller's side, when its connection closes or its node sends a Cancel. */
 struct RunControl {
     bool cancelled = false;
-    /** The answer is wanted only if the request has begun to run. */
+    /** The request is cancelled unless it has started to run. */
     bool queuedCancelled = false;
-    /** Ends the wait or exchange that is going on now. */
+    /** Interrupts the current wait for a server or the current exchange. */
     std::function<void()> interrupt;
-    /** Ends the wait for a server that is going on now; nothing once the request runs. */
+    /** Ends the current wait for a server; has no effect once the request runs. */
     std::function<void()> onCancelQueued;
-    /** Nobody could say what became of the request. It is asked for on, and may be tried elsewhere beside. */
+    /**
+     * Called when no node could report the outcome of the request. Queries for the outcome continue, and the request
+     * may be retried elsewhere at the same time.
+     */
     std::function<void()> onOutcomeUnknown;
 
     void cancel()
