--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -43,7 +43,10 @@
     return settings;
 }
 
-/** Grows with each start, since VMs keep nothing: wall time in microseconds. */
+/**
+ * Returns the wall time in microseconds: it grows with each start, and a VM keeps no state across starts that could
+ * hold a counter.
+ */
 std::uint64_t newIncarnation()
 {
     return static_cast<std::uint64_t>(
@@ -51,9 +54,9 @@
             .count());
 }
 
-/** The settings file may change without a signal. */
+/** Interval of checks for changes of the settings file that come without a signal. */
 constexpr Millis settingsPollInterval{1000};
-/** A process that is killed loses at most the log lines of this time. */
+/** A killed process loses at most the log lines of this time. */
 constexpr Millis logFlushInterval{200};
 
 std::string readFile(const std::string &path)
@@ -64,7 +67,7 @@
     return text.str();
 }
 
-/** Takes over the settings file whenever its content changes, with or without a signal. */
+/** Reloads the settings file whenever its content changes, with or without a signal. */
 template<typename AnyNode>
 class SettingsWatch
 {
@@ -148,9 +151,9 @@
 {
     installCrashLog();
     namespace po = boost::program_options;
-    po::options_description options(
-        "waxwingd: one node of the fleet\n"
-        "exit: 0 stopped cleanly, 2 usage, 3 settings, 4 can't listen, 5 work was cut at the stop");
+    po::options_description options("waxwingd: one node of the fleet\n"
+                                    "exit: 0 stopped cleanly, 2 usage, 3 settings, 4 can't listen, 5 requests were "
+                                    "still running at the end of the stop");
     options.add_options()("help,h", "print this")("settings,s", po::value<std::string>(),
                                                   "settings file (JSON with comments)")("check",
                                                                                         "only check the settings");
