--- a/src/ctl/BurnPage.cpp
+++ b/src/ctl/BurnPage.cpp
@@ -20,7 +20,7 @@
     return text.data();
 }
 
-std::string verdict(const ClassBurn &one)
+std::string budgetState(const ClassBurn &one)
 {
     const double longest = one.rates.back().burn;
     const double shortest = one.rates.front().burn;
@@ -81,7 +81,7 @@
                           rate.burn);
             out += line.data();
         }
-        out += "  " + one.name + " is " + verdict(one) + "\n";
+        out += "  " + one.name + " is " + budgetState(one) + "\n";
     }
     return out;
 }
@@ -103,7 +103,7 @@
                                {"burn", rate.burn}});
         }
         out.push_back(
-            {{"class", one.name}, {"target", one.successRate}, {"verdict", verdict(one)}, {"windows", windows}});
+            {{"class", one.name}, {"target", one.successRate}, {"verdict", budgetState(one)}, {"windows", windows}});
     }
     return out.dump(2) + "\n";
 }
@@ -121,7 +121,7 @@
     for (const ClassBurn &one : classes) {
         out +=
             "<h2>" + one.name + "</h2><p>Target " + formatted("%.3f%%", one.successRate * 100.0) + ": <strong>"
-            + verdict(one) + "</strong>.</p>" + plot(one)
+            + budgetState(one) + "</strong>.</p>" + plot(one)
             + "<table><tr><th>window</th><th>requests</th><th>late</th><th>failed</th><th>refused</th><th>unknown</th>"
               "<th>burn</th></tr>";
         for (const BurnRate &rate : one.rates) {
--- a/src/ctl/BurnPage.h
+++ b/src/ctl/BurnPage.h
@@ -8,7 +8,7 @@
 
 namespace waxwing {
 
-/** Burn of one class over the whole fleet. */
+/** Burn rates of one class over all nodes. */
 struct ClassBurn {
     std::string name;
     double successRate = 0.99;
@@ -16,11 +16,11 @@
     std::vector<BurnRate> rates;
 };
 
-/** The burn report as aligned text. Thread safe. */
+/** Formats the burn report as aligned text. Thread safe. */
 std::string burnText(const std::vector<ClassBurn> &classes);
-/** The burn report as JSON. Thread safe. */
+/** Formats the burn report as JSON. Thread safe. */
 std::string burnJson(const std::vector<ClassBurn> &classes);
-/** The burn report as one HTML page with a plot for each class, for a board to read. Thread safe. */
+/** Formats the burn report as one HTML page with a plot for each class, for readers outside operations. Thread safe. */
 std::string burnHtml(const std::vector<ClassBurn> &classes, const std::string &generatedAt);
 
 } // namespace waxwing
