--- a/src/ctl/Commands.cpp
+++ b/src/ctl/Commands.cpp
@@ -33,7 +33,7 @@
     return hexText((static_cast<std::uint64_t>(device()) << 32) | device());
 }
 
-/** What an operator wrote, without what the tool added. */
+/** Returns the operator's document without the operation id that this tool adds. */
 json withoutOperationId(json value)
 {
     if (value.is_object()) {
@@ -149,8 +149,8 @@
 
 Commands::ApplyResult Commands::resolveUnknownWrite(const std::string &service, const json &value, std::uint64_t base)
 {
-    // The write may have taken effect although its answer was lost. It is found again by its operation id; it is
-    // written again only on condition of the same base version, so it can't be there twice.
+    // The write may have taken effect although its response was lost. It is recognised by its operation id, and
+    // repeated only on condition of the same base version, so it can't be applied twice.
     const std::string operation = value.at("operation").get<std::string>();
     for (int tried = 0; tried < maxResolveAttempts; ++tried) {
         sleepFor(ioContext_, resolveInterval);
@@ -161,11 +161,11 @@
         const json now = *stored ? json::parse((*stored)->value, nullptr, false) : json();
         const std::uint64_t version = *stored ? (*stored)->version : 0;
         if (now.is_object() && now.value("operation", "") == operation) {
-            return ApplyResult{service, "accepted", version, "found again by its operation id"};
+            return ApplyResult{service, "accepted", version, "confirmed by its operation id"};
         }
         if (version != base) {
             return ApplyResult{service, "conflict", version,
-                               "changed meanwhile:\n"
+                               "changed in the meantime:\n"
                                    + describeChange(withoutOperationId(value), withoutOperationId(now))};
         }
         const UpdateResult again = api_.update(serviceObjects, service, base, value.dump());
@@ -173,7 +173,7 @@
             return ApplyResult{service, "accepted", again.version, ""};
         }
     }
-    return ApplyResult{service, "unknown", 0, "the object API gave no answer; run the same apply again"};
+    return ApplyResult{service, "unknown", 0, "the object API did not respond; run the same apply again"};
 }
 
 Commands::ApplyResult Commands::applyOne(const std::string &service, const IntentDocument &document)
@@ -189,8 +189,8 @@
     }
     if (document.revision != 0 && document.revision != version) {
         return ApplyResult{service, "conflict", version,
-                           "your file starts from revision " + std::to_string(document.revision) + ", revision "
-                               + std::to_string(version) + " stands; yours -> standing:\n"
+                           "the file is based on revision " + std::to_string(document.revision) + ", revision "
+                               + std::to_string(version) + " is stored; file -> stored:\n"
                                + describeChange(document.intents, before)};
     }
     json value = document.intents;
@@ -204,7 +204,7 @@
         const json now =
             result.current ? withoutOperationId(json::parse(result.current->value, nullptr, false)) : json();
         return ApplyResult{service, "conflict", result.current ? result.current->version : 0,
-                           "another operator was first; before -> standing:\n" + describeChange(before, now)};
+                           "another operator changed it first; before -> stored:\n" + describeChange(before, now)};
     }
     case UpdateResult::Kind::NotStored:
         return ApplyResult{service, "unavailable", 0, result.message};
@@ -422,7 +422,7 @@
         }
     }
     if (lines.empty()) {
-        std::cout << "no event names " << options_.arguments[1] << "\n";
+        std::cout << "no event mentions " << options_.arguments[1] << "\n";
     }
     for (const auto &[at, line] : lines) {
         std::cout << at << " " << line << "\n";
--- a/src/ctl/Commands.h
+++ b/src/ctl/Commands.h
@@ -23,7 +23,7 @@
     NotConfirmed = 6,
 };
 
-/** What was asked for on the command line. */
+/** Parsed command line of waxwingctl. */
 struct CtlOptions {
     std::vector<std::string> arguments;
     Endpoint objectApi;
@@ -42,7 +42,7 @@
     CtlExit run();
 
 private:
-    /** One service's write, as far as it got. */
+    /** Result of writing the intents of one service. */
     struct ApplyResult {
         std::string service;
         std::string result;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -18,7 +18,7 @@
   check FILE...        check files of intents, or settings of a node; needs no fleet
   apply FILE           write the intents of FILE; --wait until they are in force everywhere
   diff FILE            what apply would change
-  get [SERVICE]        the intents that stand, with their revisions
+  get [SERVICE]        the stored intents, with their revisions
   remove SERVICE       remove a service's intents
   status               nodes, homes and servers
   explain SUBJECT      events about a server, node, service, key or reason
