--- a/src/ctl/FleetClient.cpp
+++ b/src/ctl/FleetClient.cpp
@@ -13,15 +13,15 @@
 
 Expected<nlohmann::json> FleetClient::view(const Endpoint &operators, const std::string &target)
 {
-    const auto answer = client_.exchange(operators, HttpRequest{"GET", target, {}, {}}, callTimeout);
-    if (!answer) {
+    const auto response = client_.exchange(operators, HttpRequest{"GET", target, {}, {}}, callTimeout);
+    if (!response) {
         return fail(ErrorCode::Unavailable,
-                    "node at " + operators.text() + ": " + exchangeFailureName(answer.error().failure));
+                    "node at " + operators.text() + ": " + exchangeFailureName(response.error().failure));
     }
-    nlohmann::json body = nlohmann::json::parse(answer->body, nullptr, false);
-    if (answer->status != 200 || body.is_discarded()) {
+    nlohmann::json body = nlohmann::json::parse(response->body, nullptr, false);
+    if (response->status != 200 || body.is_discarded()) {
         return fail(ErrorCode::Malformed,
-                    "node at " + operators.text() + " answered " + std::to_string(answer->status));
+                    "node at " + operators.text() + " responded with status " + std::to_string(response->status));
     }
     return body;
 }
--- a/src/ctl/FleetClient.h
+++ b/src/ctl/FleetClient.h
@@ -10,23 +10,23 @@
 
 namespace waxwing {
 
-/** A node's name and operator endpoint, as another node knows it. */
+/** A node's name, state and operator endpoint, as reported by another node. */
 struct FleetMember {
     std::string node;
     std::string state;
     Endpoint operators;
 };
 
-/** Asks nodes over their operator endpoints. @pre methods are called from a fiber. */
+/** Queries nodes over their operator endpoints. @pre methods are called from a fiber. */
 class FleetClient
 {
 public:
     FleetClient(HttpClient &client, Endpoint first);
-    /** Every node that the first one knows. Errors: Unavailable, Malformed. */
+    /** Returns every node that the first node lists. Errors: Unavailable, Malformed. */
     Expected<std::vector<FleetMember>> members();
-    /** A view of one node, such as "/v1/status". Errors: Unavailable, Malformed. */
+    /** Returns a view of one node, such as "/v1/status". Errors: Unavailable, Malformed. */
     Expected<nlohmann::json> view(const Endpoint &operators, const std::string &target);
-    /** The same view of every node that is up, by node name; nodes that don't answer are left out. */
+    /** Returns the same view of every node that is up, by node name; nodes that don't respond are left out. */
     Expected<std::map<std::string, nlohmann::json>> viewAll(const std::string &target);
 
 private:
--- a/src/ctl/IntentFile.h
+++ b/src/ctl/IntentFile.h
@@ -10,23 +10,23 @@
 
 namespace waxwing {
 
-/** One service as an operator wrote it. */
+/** The intents of one service as an operator wrote them. */
 struct IntentDocument {
     /** The intents without the tool's own fields. */
     nlohmann::json intents;
-    /** Revision that the operator started from; 0 if the file names none. */
+    /** Revision that the operator's change is based on; 0 if the file names none. */
     std::uint64_t revision = 0;
 };
 
 using IntentFile = std::map<std::string, IntentDocument>;
 
 /**
- * Reads a file of intents: {"services": {NAME: {"classes": …}}}, JSON with comments. Checks every service and
+ * Parses a file of intents: {"services": {NAME: {"classes": …}}}, JSON with comments. Validates every service and
  * reports every fault with file, line or JSON pointer. Thread safe.
  */
 IntentFile parseIntentFile(const std::string &text, const std::string &source, Findings &findings);
 
-/** Lines "path: old -> new" for what differs between two documents. Thread safe. */
+/** Returns lines "path: old -> new" for the differences between two documents. Thread safe. */
 std::string describeChange(const nlohmann::json &from, const nlohmann::json &to);
 
 } // namespace waxwing
