--- a/tests/unit/ClaimTableTest.cpp
+++ b/tests/unit/ClaimTableTest.cpp
@@ -16,12 +16,12 @@
     ManualClock clock;
     NodeRef self{"n1", 42};
     ClaimLimits limits{4, 1000, std::chrono::minutes(10)};
-    TicketIssuer issue{self, clock};
+    TicketIssuer issuer{self, clock};
     ClaimTable table{self, clock, limits};
 
     ClaimDecision begin(const Ticket &ticket)
     {
-        return table.begin(ticket, issue.age(), digest);
+        return table.begin(ticket, issuer.age(), digest);
     }
 };
 
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("ticket, written and read, is the same")
+TEST_CASE("ticket, formatted and parsed, is unchanged")
 {
     const Ticket ticket{{"rack-3.n1", 0xabcdef}, Millis(123456), 99};
     const auto parsed = Ticket::parse(ticket.text());
@@ -46,38 +46,38 @@
     }
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "claim, second attempt while it runs and after it ended, never starts again")
+TEST_CASE_FIXTURE(OwnerFixture, "claim, second attempt while the first runs and after it finished, never starts again")
 {
-    const Ticket ticket = issue.issue();
+    const Ticket ticket = issuer.issue();
     CHECK(begin(ticket) == ClaimDecision::Start);
     CHECK(begin(ticket) == ClaimDecision::Running);
     table.finish(ticket, ran("seat 4"));
     CHECK(begin(ticket) == ClaimDecision::Replay);
     CHECK(table.resultOf(ticket)->response.body == "seat 4");
-    CHECK(table.begin(ticket, issue.age(), digest + 1) == ClaimDecision::OtherRequest);
+    CHECK(table.begin(ticket, issuer.age(), digest + 1) == ClaimDecision::OtherRequest);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "claim, ended unknown, stays in doubt")
+TEST_CASE_FIXTURE(OwnerFixture, "claim, finished with unknown outcome, stays unknown")
 {
-    const Ticket ticket = issue.issue();
+    const Ticket ticket = issuer.issue();
     begin(ticket);
     table.finish(ticket, ClaimResult{Outcome::Unknown, {}});
     CHECK(begin(ticket) == ClaimDecision::OutcomeUnknown);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "claim, ended not run, may start again")
+TEST_CASE_FIXTURE(OwnerFixture, "claim, finished as not run, may start again")
 {
-    const Ticket ticket = issue.issue();
+    const Ticket ticket = issuer.issue();
     begin(ticket);
     table.finish(ticket, ClaimResult{Outcome::NotRun, {}});
     CHECK(begin(ticket) == ClaimDecision::Start);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "claim, resent after the entry was dropped, is refused as expired")
+TEST_CASE_FIXTURE(OwnerFixture, "claim, resent after its entry was removed, is refused as expired")
 {
-    // Story: a caller sends a booking again after hours. The owner has forgotten it by then; were the ticket to start
-    // as if it were new, the seat would be booked twice. The ticket's own age says that it is too old to start.
-    const Ticket ticket = issue.issue();
+    // Guards against a second execution of a booking that is resent after hours. The owner has removed the claim by
+    // then, so the age in the ticket itself must show that the ticket is too old to start.
+    const Ticket ticket = issuer.issue();
     begin(ticket);
     table.finish(ticket, ran("seat"));
     clock.advance(limits.validity);
@@ -90,68 +90,69 @@
 {
     std::vector<Ticket> tickets;
     for (std::size_t i = 0; i < limits.entries; ++i) {
-        tickets.push_back(issue.issue());
+        tickets.push_back(issuer.issue());
         CHECK(begin(tickets.back()) == ClaimDecision::Start);
     }
-    CHECK(begin(issue.issue()) == ClaimDecision::Full);
+    CHECK(begin(issuer.issue()) == ClaimDecision::Full);
     CHECK(begin(tickets.front()) == ClaimDecision::Running);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "claim, answer above the bytes allowed, is remembered as run without it")
+TEST_CASE_FIXTURE(OwnerFixture, "claim, response above the byte limit, is recorded as run without its response")
 {
-    const Ticket ticket = issue.issue();
+    const Ticket ticket = issuer.issue();
     begin(ticket);
     table.finish(ticket, ran(std::string(limits.responseBytes + 1, 'x')));
     CHECK(begin(ticket) == ClaimDecision::ResponseNotStored);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "ticket, of another incarnation or from the future, is not this owner's")
+TEST_CASE_FIXTURE(OwnerFixture, "ticket, of another incarnation or issued in the future, is not this owner's")
 {
     CHECK(begin(Ticket{{"n1", 41}, Millis(0), 1}) == ClaimDecision::NotOwner);
     CHECK(begin(Ticket{self, std::chrono::hours(5), 1}) == ClaimDecision::NotOwner);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "handover, used and unused and old tickets, are decided by the successor alike")
+TEST_CASE_FIXTURE(OwnerFixture, "handover, used and unused and expired tickets, are decided alike by the successor")
 {
-    // Story: a node is replaced while callers still hold its tickets. The successor must repeat what ran, start what
-    // never did, and refuse tickets so old that the leaving node may have forgotten their use.
-    const Ticket old = issue.issue();
+    // A node is replaced while callers still hold its tickets. The successor must replay what ran, start what never
+    // ran, and refuse tickets so old that the stopped node may have removed their claims.
+    const Ticket old = issuer.issue();
     clock.advance(limits.validity);
-    const Ticket used = issue.issue();
-    const Ticket unused = issue.issue();
+    const Ticket used = issuer.issue();
+    const Ticket unused = issuer.issue();
     begin(used);
     table.finish(used, ran("seat 9"));
     table.stopClaiming();
-    CHECK(begin(issue.issue()) == ClaimDecision::Stopping);
+    CHECK(begin(issuer.issue()) == ClaimDecision::Stopping);
 
     const NodeRef next{"n2", 50};
     ManualClock nextClock;
     TicketIssuer nextIssuer(next, nextClock);
     ClaimTable successor(next, nextClock, limits);
-    successor.adopt(table.handOver(issue.age()));
+    successor.adopt(table.handOver(issuer.age()));
     CHECK(successor.begin(used, nextIssuer.age(), digest) == ClaimDecision::Replay);
     CHECK(successor.begin(unused, nextIssuer.age(), digest) == ClaimDecision::Start);
     CHECK(successor.begin(old, nextIssuer.age(), digest) == ClaimDecision::Expired);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "handover, larger than one message, is taken whole or decides nothing")
+TEST_CASE_FIXTURE(OwnerFixture, "handover, larger than one message, takes effect only when it is complete")
 {
-    // Story: a node with many kept answers stops. Its claims don't fit into one message of a link, and the stop must
-    // not lose them; a successor that got only a part must not start tickets whose use it was not told of.
+    // The claims of a stopping node with many stored responses don't fit into one message of a link, and the stop must
+    // not lose them. Guards against a successor that received only a part and starts tickets whose use is in the
+    // missing part.
     ClaimTable many(self, clock, ClaimLimits{1000, 1000000, std::chrono::minutes(10)});
     std::vector<Ticket> used;
     for (int i = 0; i < 40; ++i) {
-        used.push_back(issue.issue());
-        many.begin(used.back(), issue.age(), digest);
+        used.push_back(issuer.issue());
+        many.begin(used.back(), issuer.age(), digest);
         many.finish(used.back(), ran(std::string(400, 'x')));
     }
     many.stopClaiming();
-    const std::vector<ClaimHandover> parts = splitHandover(many.handOver(issue.age()), 2000);
+    const std::vector<ClaimHandover> parts = splitHandover(many.handOver(issuer.age()), 2000);
     CHECK(parts.size() > 5);
     const NodeRef next{"n2", 50};
     TicketIssuer nextIssuer(next, clock);
     ClaimTable successor(next, clock, ClaimLimits{1000, 1000000, std::chrono::minutes(10)});
-    const Ticket unused = issue.issue();
+    const Ticket unused = issuer.issue();
     for (const ClaimHandover &part : parts) {
         CHECK(successor.begin(unused, nextIssuer.age(), digest) == ClaimDecision::NotOwner);
         CHECK(encodeMessage(part).size() < 4000);
@@ -163,20 +164,20 @@
     CHECK(successor.begin(unused, nextIssuer.age(), digest) == ClaimDecision::Start);
 }
 
-TEST_CASE("claims, random schedules of resends, kills, handovers and lost answers, run each key at most once")
+TEST_CASE("claims, random schedules of resends, kills, handovers and lost responses, run each key at most once")
 {
-    // Story: callers resend through any node while nodes are killed, replaced in good order, or frozen between the
-    // claim and the hand-over; answers are lost at random. 600 seeded schedules; the ledger counts every run. A frozen
-    // node wakes and finishes what it had started, after others have been asked about the same ticket.
+    // Callers resend through any node while nodes are killed, stopped gracefully, or suspended between the claim and
+    // the result; responses are lost at random. 600 seeded schedules; executions counts every run. A suspended node
+    // resumes and finishes what it had started after others were asked about the same ticket.
     constexpr int schedules = 600;
     int runs = 0;
-    int refusedFresh = 0;
+    int refusedNew = 0;
     for (int seed = 0; seed < schedules; ++seed) {
         std::mt19937_64 random(static_cast<std::uint64_t>(seed));
         ManualClock clock;
         struct Owner {
             NodeRef ref;
-            std::unique_ptr<TicketIssuer> issue;
+            std::unique_ptr<TicketIssuer> issuer;
             std::unique_ptr<ClaimTable> table;
             bool dead = false;
         };
@@ -185,7 +186,7 @@
         std::uint64_t incarnation = 1;
         const auto addOwner = [&](const std::string &id) {
             Owner owner{{id, incarnation++}, nullptr, nullptr, false};
-            owner.issue = std::make_unique<TicketIssuer>(owner.ref, clock);
+            owner.issuer = std::make_unique<TicketIssuer>(owner.ref, clock);
             owner.table =
                 std::make_unique<ClaimTable>(owner.ref, clock, ClaimLimits{1000, 10000, std::chrono::minutes(1)});
             owners.push_back(std::move(owner));
@@ -201,14 +202,14 @@
                 }
             }
         };
-        std::map<std::string, int> ledger;
-        std::map<std::string, Outcome> told;
+        std::map<std::string, int> executions;
+        std::map<std::string, Outcome> reported;
         std::vector<Ticket> tickets;
-        struct Frozen {
+        struct Suspended {
             std::size_t owner;
             Ticket ticket;
         };
-        std::vector<Frozen> frozen;
+        std::vector<Suspended> suspended;
         for (int step = 0; step < 200; ++step) {
             clock.advance(Millis(random() % 2000));
             const auto kind = random() % 20;
@@ -225,7 +226,7 @@
                     addOwner("y" + std::to_string(step));
                     continue;
                 }
-                const ClaimHandover handover = leaving.table->handOver(leaving.issue->age());
+                const ClaimHandover handover = leaving.table->handOver(leaving.issuer->age());
                 leaving.dead = true;
                 addOwner("z" + std::to_string(step));
                 Owner &next = live();
@@ -234,14 +235,14 @@
                     successors[owner.ref] = next.ref;
                 }
             } else if (kind < 6) {
-                tickets.push_back(live().issue->issue());
-            } else if (kind < 8 && !frozen.empty()) {
-                const Frozen woken = frozen.back();
-                frozen.pop_back();
-                Owner &owner = owners[woken.owner];
+                tickets.push_back(live().issuer->issue());
+            } else if (kind < 8 && !suspended.empty()) {
+                const Suspended resumed = suspended.back();
+                suspended.pop_back();
+                Owner &owner = owners[resumed.owner];
                 if (!owner.dead) {
-                    ++ledger[woken.ticket.text()];
-                    owner.table->finish(woken.ticket,
+                    ++executions[resumed.ticket.text()];
+                    owner.table->finish(resumed.ticket,
                                         ClaimResult{random() % 4 == 0 ? Outcome::Unknown : Outcome::Ran, {}});
                 }
             } else if (!tickets.empty()) {
@@ -253,37 +254,37 @@
                 const auto at =
                     std::find_if(owners.begin(), owners.end(), [&](const Owner &one) { return one.ref == holder; });
                 if (at->dead) {
-                    refusedFresh += ledger.count(ticket.text()) == 0 ? 1 : 0;
-                    told[ticket.text()] = Outcome::Unknown;
+                    refusedNew += executions.count(ticket.text()) == 0 ? 1 : 0;
+                    reported[ticket.text()] = Outcome::Unknown;
                     continue;
                 }
-                const ClaimDecision decision = at->table->begin(ticket, at->issue->age(), digest);
+                const ClaimDecision decision = at->table->begin(ticket, at->issuer->age(), digest);
                 if (decision != ClaimDecision::Start) {
                     continue;
                 }
                 const auto end = random() % 5;
                 if (end == 0) {
-                    // Its caller hears nothing in time, which is "unknown".
-                    told[ticket.text()] = Outcome::Unknown;
-                    frozen.push_back(Frozen{static_cast<std::size_t>(at - owners.begin()), ticket});
+                    // Its caller times out, so the outcome is "unknown".
+                    reported[ticket.text()] = Outcome::Unknown;
+                    suspended.push_back(Suspended{static_cast<std::size_t>(at - owners.begin()), ticket});
                 } else if (end == 1) {
                     at->table->finish(ticket, ClaimResult{Outcome::NotRun, {}});
-                    told[ticket.text()] = Outcome::NotRun;
+                    reported[ticket.text()] = Outcome::NotRun;
                 } else {
-                    ++ledger[ticket.text()];
-                    told[ticket.text()] = end == 2 ? Outcome::Unknown : Outcome::Ran;
-                    at->table->finish(ticket, ClaimResult{told[ticket.text()], {}});
+                    ++executions[ticket.text()];
+                    reported[ticket.text()] = end == 2 ? Outcome::Unknown : Outcome::Ran;
+                    at->table->finish(ticket, ClaimResult{reported[ticket.text()], {}});
                 }
             }
         }
-        for (const auto &entry : ledger) {
+        for (const auto &entry : executions) {
             const std::string &key = entry.first;
             INFO("seed " << seed << " ticket " << key);
             CHECK(entry.second == 1);
             ++runs;
-            CHECK(told[key] != Outcome::NotRun);
+            CHECK(reported[key] != Outcome::NotRun);
         }
     }
     CHECK(runs > schedules);
-    MESSAGE("runs " << runs << ", attempts refused because the owner was gone " << refusedFresh);
+    MESSAGE("runs " << runs << ", attempts refused because the owner was gone " << refusedNew);
 }
