--- a/tests/integration/AtMostOnceTest.cpp
+++ b/tests/integration/AtMostOnceTest.cpp
@@ -8,16 +8,19 @@
 
 namespace {
 
-/** Judges the ledgers: no key twice, and nothing that was last told "not run" stands in one. */
+/**
+ * Checks the executions of the servers: no request ran twice, one last reported as "not-run" never ran, and one last
+ * reported as "ran" ran once.
+ */
 void checkExecutions(const Fleet &fleet, const std::map<std::string, std::string> &lastOutcomes)
 {
     const std::map<std::string, int> executions = fleet.executions();
-    for (const auto &told : lastOutcomes) {
-        const std::string &id = told.first;
-        const std::string &outcome = told.second;
+    for (const auto &reported : lastOutcomes) {
+        const std::string &id = reported.first;
+        const std::string &outcome = reported.second;
         const auto found = executions.find(id);
         const int count = found == executions.end() ? 0 : found->second;
-        INFO("request " << id << " told " << outcome);
+        INFO("request " << id << " reported " << outcome);
         CHECK(count <= 1);
         if (outcome == "not-run") {
             CHECK(count == 0);
@@ -30,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("fleet, three nodes, a request through each comes back whole")
+TEST_CASE("fleet, a request through each of three nodes, gets the complete response")
 {
     Fleet fleet;
     for (int node = 0; node < 3; ++node) {
@@ -44,8 +47,8 @@
 
 TEST_CASE("booking, same ticket or own key sent through every node, runs once")
 {
-    // Story: an office manager's client times out and sends its booking again, to whichever node it finds. Each copy
-    // must be told of the one seat that was booked.
+    // A client times out and resends its booking through any node. Guards against a second execution: every copy must
+    // return the result of the first one.
     Fleet fleet;
     const std::string ticket = fleet.ticket(0);
     for (const std::string &key : {ticket, std::string("own-key-1")}) {
@@ -64,22 +67,22 @@
 
 TEST_CASE("booking, node killed while many run, no key runs twice")
 {
-    // Story: a node dies with bookings under way, and the callers send them again through the other nodes at once.
-    // Those whose ticket the dead node had minted may have run: they are told "unknown" and never run again.
+    // A node dies with bookings in flight, and the callers resend them through the other nodes at once. Bookings whose
+    // ticket the dead node issued may have run: they must be reported as "unknown" and never run again.
     FleetOptions options;
     options.workMs = 60;
     Fleet fleet(options);
-    std::map<std::string, std::string> told;
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(maxTasks);
+    std::map<std::string, std::string> reported;
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(maxTasks);
     for (int i = 0; i < 60; ++i) {
-        bodies.emplace_back([&, i] {
+        tasks.emplace_back([&, i] {
             const std::string id = "killed-" + std::to_string(i);
             const std::string key = i % 2 == 0 ? fleet.ticket(i % 3) : "own-" + std::to_string(i);
             pause(Millis(i * 8));
             for (int attempt = 0; attempt < 4; ++attempt) {
                 const CallResult answer = fleet.book((i + attempt) % 3, id, key);
-                told[id] = answer.outcome.empty() ? "unknown" : answer.outcome;
+                reported[id] = answer.outcome.empty() ? "unknown" : answer.outcome;
                 if (answer.outcome == "ran") {
                     break;
                 }
@@ -87,22 +90,22 @@
             }
         });
     }
-    bodies.emplace_back([&] {
+    tasks.emplace_back([&] {
         pause(Millis(250));
         fleet.node(1).kill();
     });
-    runConcurrently(bodies);
-    checkExecutions(fleet, told);
+    runConcurrently(tasks);
+    checkExecutions(fleet, reported);
     int fresh = 0;
-    // Fresh work after the kill, with tickets of live nodes, is refused no longer than the fleet takes to notice.
+    // After the kill, new work with tickets of live nodes is refused only until the fleet has detected the dead node.
     CHECK(eventually(
         [&] { return fleet.book(0, "fresh-" + std::to_string(++fresh), fleet.ticket(0)).outcome == "ran"; }));
 }
 
-TEST_CASE("booking, server killed or resetting while it works, is told unknown and never sent on")
+TEST_CASE("booking, server killed while it runs, is reported unknown and never sent to another server")
 {
-    // Story: the records server dies after it took the booking. Nobody knows whether the seat was taken, so the caller
-    // must not be told that it was not, and no second server may get it.
+    // The server dies after it received the booking, so it is unknown whether the booking ran. It must not be reported
+    // as not run, and no second server may receive it.
     FleetOptions options;
     options.workMs = 300;
     Fleet fleet(options);
@@ -123,44 +126,45 @@
     CHECK(fleet.executions()["dies"] == 1);
 }
 
-TEST_CASE("booking, home frozen past the deadline and woken, runs at most once")
+TEST_CASE("booking, home suspended past the deadline and resumed, runs at most once")
 {
-    // Story: a VM stalls with a booking in its socket buffer. Its caller gives up and resends through other nodes. When
-    // the VM wakes it finds the old request. Only the ticket's owner may run it, so there can't be a second run.
+    // A VM is suspended with a booking in its socket buffer. The caller times out and resends through other nodes; when
+    // the VM resumes, it finds the old request. Only the ticket's owner may run it, so there must be no second
+    // execution.
     Fleet fleet;
-    const std::string frozenTicket = fleet.ticket(1);
+    const std::string suspendedTicket = fleet.ticket(1);
     const std::string liveTicket = fleet.ticket(0);
-    std::map<std::string, std::string> told;
+    std::map<std::string, std::string> reported;
     fleet.node(1).signal(SIGSTOP);
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(maxTasks);
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(maxTasks);
     for (int i = 0; i < 6; ++i) {
-        bodies.emplace_back([&, i] {
+        tasks.emplace_back([&, i] {
             const std::string id = i % 2 == 0 ? "frozen-owner" : "frozen-home";
-            const CallResult answer = fleet.book(i % 2 == 0 ? 2 : 0, id, i % 2 == 0 ? frozenTicket : liveTicket);
+            const CallResult answer = fleet.book(i % 2 == 0 ? 2 : 0, id, i % 2 == 0 ? suspendedTicket : liveTicket);
             if (!answer.outcome.empty()) {
-                told[id] = answer.outcome;
+                reported[id] = answer.outcome;
             }
         });
     }
-    runConcurrently(bodies);
+    runConcurrently(tasks);
     fleet.node(1).signal(SIGCONT);
     pause(Millis(1500));
     for (int node = 0; node < 3; ++node) {
-        fleet.book(node, "frozen-owner", frozenTicket);
+        fleet.book(node, "frozen-owner", suspendedTicket);
         fleet.book(node, "frozen-home", liveTicket);
     }
     const std::map<std::string, int> executions = fleet.executions();
     for (const auto &[id, count] : executions) {
         CHECK(count <= 1);
     }
-    CHECK(told["frozen-owner"] == "unknown");
+    CHECK(reported["frozen-owner"] == "unknown");
 }
 
-TEST_CASE("booking, answers between nodes cut one way, runs at most once and is not told not-run")
+TEST_CASE("booking, replies between nodes lost in one direction, runs at most once and is not reported not-run")
 {
-    // Story: node 0 hears nothing from node 1 although node 1 hears it. The booking runs there, its answer is lost. The
-    // caller must hear "unknown", and a resend must not run it again.
+    // Node 0 receives nothing from node 1, although node 1 receives what node 0 sends. The booking runs at node 1 and
+    // its reply is lost. The caller must get "unknown", and a resend must not run the booking again.
     FleetOptions options;
     options.proxies = true;
     Fleet fleet(options);
@@ -179,14 +183,14 @@
     CHECK(fleet.executions()["one-way"] == 1);
 }
 
-TEST_CASE("calendar, answers cut or reset or garbled, no part is passed on as whole")
+TEST_CASE("calendar, responses truncated or reset, are never returned as complete")
 {
-    // Story: a gray server closes connections in the middle of answers. Half a calendar shown as a whole one would make
-    // a manager book a course that is full.
+    // A gray server closes connections in the middle of responses. Guards against a truncated response that is returned
+    // as complete: half a calendar would show a full course as free.
     Fleet fleet;
     fleet.setServerMode("s0", {{"mode", "cut"}});
     fleet.setServerMode("s3", {{"mode", "reset"}});
-    int whole = 0;
+    int complete = 0;
     for (int i = 0; i < 40; ++i) {
         const std::string id = "cut-" + std::to_string(i);
         const CallResult answer = fleet.read(0, id);
@@ -194,18 +198,18 @@
             const nlohmann::json body = nlohmann::json::parse(answer.body, nullptr, false);
             CHECK(body.is_object());
             CHECK(body.value("request", "") == id);
-            ++whole;
+            ++complete;
         } else {
             CHECK(answer.outcome != "ran");
         }
     }
-    CHECK(whole >= 35);
+    CHECK(complete >= 35);
 }
 
-TEST_CASE("booking, object API away, tickets work and own keys are not told not-run")
+TEST_CASE("booking, object API unreachable, tickets work and own keys are not reported not-run")
 {
-    // Story: the store is away for hours. Bookings with tickets go on. A caller's own key can't be looked up, so
-    // whether an earlier attempt ran isn't known and nobody is told that it did not.
+    // The object API is unreachable for hours. Bookings with tickets continue. A caller's own key can't be looked up,
+    // so whether an earlier attempt ran is unknown and must not be reported as "not-run".
     Fleet fleet;
     fleet.setApiFault({{"outage", true}});
     CHECK(fleet.book(0, "away-ticket", fleet.ticket(0)).outcome == "ran");
@@ -218,7 +222,7 @@
     CHECK(fleet.executions()["away-own"] == 1);
 }
 
-TEST_CASE("booking, write of its key took effect but its answer was lost, runs once")
+TEST_CASE("booking, write of its key took effect but the response was lost, runs once")
 {
     Fleet fleet;
     fleet.setApiFault({{"loseAnswers", 1}});
