--- a/tests/integration/PairsTest.cpp
+++ b/tests/integration/PairsTest.cpp
@@ -8,23 +8,26 @@
 
 namespace {
 
-/** Bookings that are sent again through other nodes until their outcome is known, while @p faults happen. */
+/**
+ * Sends bookings and resends them through other nodes until their outcome is known, while @p faults runs. Checks that
+ * the reported outcomes agree with the executions.
+ */
 void bookDuringFaults(Fleet &fleet, const std::string &name, const std::function<void()> &faults)
 {
     constexpr int bookings = 36;
     constexpr int attempts = 5;
-    std::map<std::string, std::string> told;
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(maxTasks);
+    std::map<std::string, std::string> reported;
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(maxTasks);
     for (int i = 0; i < bookings; ++i) {
-        bodies.emplace_back([&, i] {
+        tasks.emplace_back([&, i] {
             pause(Millis(i * 30));
             const std::string id = name + "-" + std::to_string(i);
             const std::string key = i % 3 == 2 ? "own-" + id : fleet.ticket(i % 3);
             for (int attempt = 0; attempt < attempts && !key.empty(); ++attempt) {
                 const CallResult answer = fleet.book((i + attempt) % 3, id, key);
-                // No answer at all may mean anything, so it leaves what was told before.
-                told[id] = answer.outcome.empty() ? "unknown" : answer.outcome;
+                // Without a response the outcome is unknown.
+                reported[id] = answer.outcome.empty() ? "unknown" : answer.outcome;
                 if (answer.outcome == "ran") {
                     break;
                 }
@@ -32,14 +35,14 @@
             }
         });
     }
-    bodies.emplace_back(faults);
-    runConcurrently(bodies);
+    tasks.emplace_back(faults);
+    runConcurrently(tasks);
     const std::map<std::string, int> executions = fleet.executions();
     int ran = 0;
-    for (const auto &entry : told) {
+    for (const auto &entry : reported) {
         const auto found = executions.find(entry.first);
         const int count = found == executions.end() ? 0 : found->second;
-        INFO(entry.first << " told " << entry.second << " ran " << count);
+        INFO(entry.first << " reported " << entry.second << " ran " << count);
         CHECK(count <= 1);
         CHECK((entry.second != "not-run" || count == 0));
         CHECK((entry.second != "ran" || count == 1));
@@ -50,10 +53,10 @@
 
 } // namespace
 
-TEST_CASE("bookings, object API away and a node killed, none runs twice")
+TEST_CASE("bookings, object API unreachable and a node killed, none runs twice")
 {
-    // Story: the store is away and, in the same minute, a VM is lost with bookings under way. Callers resend through
-    // the other nodes; there is no store to ask and no owner left for some tickets.
+    // The object API is unreachable, and shortly after a VM is lost with bookings in flight. Callers resend through the
+    // other nodes; there is no store to look keys up in and no owner left for some tickets.
     FleetOptions options;
     options.workMs = 40;
     Fleet fleet(options);
@@ -67,9 +70,9 @@
     });
 }
 
-TEST_CASE("bookings, a home frozen and a server killed, none runs twice")
+TEST_CASE("bookings, a home suspended and a server killed, none runs twice")
 {
-    // Story: a node is paused while one of its servers dies, and wakes with old requests in its sockets.
+    // A node is suspended while one of its servers dies, and resumes with old requests in its sockets.
     FleetOptions options;
     options.workMs = 40;
     Fleet fleet(options);
@@ -83,9 +86,9 @@
     });
 }
 
-TEST_CASE("bookings, a one-way cut and a planned stop, none runs twice")
+TEST_CASE("bookings, a one-way network fault and a graceful stop, none runs twice")
 {
-    // Story: node 0 can't be heard by the others while node 2 is stopped for replacement and hands over its claims.
+    // Messages from node 0 don't reach the others while node 2 stops gracefully and hands over its claims.
     FleetOptions options;
     options.workMs = 40;
     options.proxies = true;
@@ -101,10 +104,10 @@
     });
 }
 
-TEST_CASE("server, its answers cut one way, bookings there are unknown and run once and readers go elsewhere")
+TEST_CASE("server, responses to its home lost, bookings there are unknown and run once and readers go elsewhere")
 {
-    // Story: a home reaches its server and the server's answers don't come back, while its announcements do. What was
-    // handed over has run; nobody may be told that it has not, and readers must not wait for it.
+    // A home reaches its server, but the server's responses don't come back, while its announcements do. The bookings
+    // sent to it have run, so they must not be reported as "not-run", and readers must not wait for it.
     FleetOptions options;
     options.proxyServer = true;
     Fleet fleet(options);
