--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** A fleet that can't be set up is no result of a test: it ends with what was missing. */
+/** Throws if the fleet can't be set up, because that is not a test result. */
 void require(bool done, const std::string &what)
 {
     if (!done) {
@@ -59,7 +59,7 @@
 
 } // namespace
 
-/** Below the range that the system gives to outgoing connections, so that nothing else takes it meanwhile. */
+/** Uses ports below the system's ephemeral range, so that no outgoing connection takes the port in the meantime. */
 Endpoint freeEndpoint()
 {
     static unsigned next = 10000 + static_cast<unsigned>(getpid() * 37) % 15000;
@@ -108,12 +108,12 @@
     return true;
 }
 
-void runConcurrently(const std::vector<std::function<void()>> &bodies)
+void runConcurrently(const std::vector<std::function<void()>> &tasks)
 {
-    std::size_t left = bodies.size();
-    for (const auto &body : bodies) {
-        spawnFiber([&left, &body] {
-            body();
+    std::size_t left = tasks.size();
+    for (const auto &task : tasks) {
+        spawnFiber([&left, &task] {
+            task();
             --left;
         });
     }
@@ -180,7 +180,7 @@
         at = text.find("\n" + mark);
         return at != std::string::npos && text.find('\n', at + 1) != std::string::npos;
     });
-    require(at != std::string::npos, "at != std::string::npos");
+    require(at != std::string::npos, "expected value printed");
     return static_cast<std::uint16_t>(std::stoi(text.substr(at + 1 + mark.size())));
 }
 
@@ -188,7 +188,7 @@
     : options_(std::move(options))
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "waxwing-test-XXXXXX").string();
-    require(mkdtemp(pattern.data()) != nullptr, "mkdtemp(pattern.data()) != nullptr");
+    require(mkdtemp(pattern.data()) != nullptr, "temporary directory created");
     directory_ = pattern;
     apiProcess_ = std::make_unique<Process>("tests/standins/standin-objectapi", std::vector<std::string>{},
                                             directory_ + "/api.log");
@@ -208,16 +208,17 @@
     for (int i = 0; i < options_.nodes; ++i) {
         startNode(i);
     }
-    // A server that finds no listener yet would announce itself to the next home, and tests count on theirs.
+    // A server that finds no listener yet would announce itself to the next home, but tests depend on the home of each
+    // server.
     for (int i = 0; i < options_.nodes; ++i) {
-        require(eventually([this, i] { return view(i, "/v1/status").is_object(); }), "every node answers");
+        require(eventually([this, i] { return view(i, "/v1/status").is_object(); }), "every node responds");
     }
     for (int i = 0; i < options_.nodes * options_.serversPerNode; ++i) {
         const auto kind = static_cast<std::size_t>(i / options_.nodes) % options_.services.size();
         startServer("s" + std::to_string(i), i % options_.nodes, options_.services[kind]);
     }
     applyIntents();
-    require(eventually([this] { return converged(); }, std::chrono::seconds(30)), "every node knows every server");
+    require(eventually([this] { return converged(); }, std::chrono::seconds(30)), "every node lists every server");
 }
 
 Fleet::~Fleet()
@@ -312,23 +313,23 @@
 void Fleet::setServerMode(const std::string &name, const json &mode)
 {
     const json answer = post(Endpoint{"127.0.0.1", server(name).waitForPrintedNumber("port")}, "/_mode", mode);
-    require(answer.is_object(), "answer.is_object()");
+    require(answer.is_object(), "server accepts the mode");
 }
 
 void Fleet::setApiFault(const json &fault)
 {
-    require(post(api_, "/_fault", fault).is_object(), "post(api_, '/_fault', fault).is_object()");
+    require(post(api_, "/_fault", fault).is_object(), "object API accepts the fault");
 }
 
 void Fleet::setServerFault(const json &fault)
 {
-    require(post(serverProxyControl_, "/_fault", fault).is_object(), "fault on the way to s0");
+    require(post(serverProxyControl_, "/_fault", fault).is_object(), "proxy of s0 accepts the fault");
 }
 
 void Fleet::setProxyFault(int node, const json &fault)
 {
     require(post(proxyControls_.at(static_cast<std::size_t>(node)), "/_fault", fault).is_object(),
-            "post(proxyControls_.at(static_cast<std::size_t>(node)), '/_f");
+            "proxy of the node accepts the fault");
 }
 
 json Fleet::view(int node, const std::string &target)
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -20,32 +20,32 @@
 /** Installs the fiber scheduler of the test thread. Call once. */
 void setUpLoop();
 void pause(Millis length);
-/** Polls until @p done or @p within has passed; returns whether it was done. */
+/** Polls until @p done returns true or @p within has passed; returns whether it was done. */
 bool eventually(const std::function<bool()> &done, Millis within = std::chrono::seconds(10));
-/** Runs the bodies as fibers and returns when all have ended. */
-void runConcurrently(const std::vector<std::function<void()>> &bodies);
+/** Runs the tasks as fibers and returns when all have finished. */
+void runConcurrently(const std::vector<std::function<void()>> &tasks);
 
-/** The test thread's loop and client. @pre setUpLoop() was called. */
+/** Returns the test thread's event loop and HTTP client. @pre setUpLoop() was called. */
 boost::asio::io_context &loopContext();
 HttpClient &loopClient();
-/** An address on loopback that nothing listens on. */
+/** Returns a loopback address on which nothing listens. */
 Endpoint freeEndpoint();
 
-/** One process of a test; killed when it goes out of scope. */
+/** A child process of a test; killed when it goes out of scope. */
 class Process
 {
 public:
-    /** Starts @p program of the build with its output in @p log. */
+    /** Starts @p program from the build directory with its output in @p log. */
     Process(const std::string &program, const std::vector<std::string> &arguments, const std::string &log);
     ~Process();
     Process(const Process &) = delete;
     Process &operator=(const Process &) = delete;
     void signal(int number);
     void kill();
-    /** Waits for the end; the exit code, or -1 if it did not end in time. */
+    /** Waits for the process to exit; returns the exit code, or -1 if it did not exit in time. */
     int waitForExit(Millis within = std::chrono::seconds(25));
     bool running();
-    /** The number printed as "name=number", waited for. */
+    /** Waits until the process has printed "name=number" and returns the number. */
     std::uint16_t waitForPrintedNumber(const std::string &name);
     std::string output() const;
 
@@ -55,15 +55,16 @@
 };
 
 /**
- * The program that a node's process runs: of this build, or of another one that WAXWING_OTHER_BUILD names by its build
- * directory. With that variable every second node is of the other build; in an upgrade each node's first process is,
- * and later ones are of this build.
+ * Returns the program that runs as a node: from this build, or from the build directory that WAXWING_OTHER_BUILD names.
+ * If that variable is set, every second node runs the other build; in an upgrade, the first process of each node does,
+ * and its later processes run this build.
  */
 std::string nodeProgram(int node, bool upgrade, int earlierStarts);
 
-/** Room for the bodies that a test hands to runConcurrently(). */
+/** Capacity that tests reserve for the tasks passed to runConcurrently(). */
 constexpr std::size_t maxTasks = 128;
 
+/** Outcome of a request as its caller sees it; status 0 if no response arrived. */
 struct CallResult {
     unsigned status = 0;
     std::string outcome;
@@ -72,7 +73,7 @@
     HeaderList headers;
 };
 
-/** What a test wants running. */
+/** Size and settings of the fleet that a test runs. */
 struct FleetOptions {
     int nodes = 3;
     int serversPerNode = 2;
@@ -81,18 +82,20 @@
     int workMs = 5;
     int slots = 3;
     std::string ramp = "200ms";
-    /** Nodes' peer ports are reached through a fault proxy each. */
+    /** Each node's peer port is reached through a fault proxy. */
     bool proxies = false;
-    /** Servers are dealt to these in turn; requests go to the first unless they say otherwise. */
+    /** Servers are assigned to these in turn; requests go to the first unless they name another. */
     std::vector<std::string> services = {"course-desk"};
     int regions = 1;
     /** Server s0 is reached through a fault proxy. */
     bool proxyServer = false;
-    /** Nodes begin with the other build; see nodeProgram(). */
+    /** Nodes start with the other build; see nodeProgram(). */
     bool upgrade = false;
 };
 
-/** A fleet of real processes on loopback: object API stand-in, nodes, backend servers and, if wanted, proxies. */
+/**
+ * A fleet of real processes on loopback: object API stand-in, nodes, backend servers and, as an option, fault proxies.
+ */
 class Fleet
 {
 public:
@@ -106,16 +109,16 @@
     Process &node(int index);
     Process &server(const std::string &name);
     std::vector<std::string> serverNames() const;
-    /** Sets how real work of a server fails, as in {"mode":"stall"}. */
+    /** Sets how a server fails real work, as in {"mode":"stall"}. */
     void setServerMode(const std::string &name, const nlohmann::json &mode);
     void setApiFault(const nlohmann::json &fault);
-    /** Sets faults on the way to server s0. @pre Plan::proxyServer. */
+    /** Sets the faults of the proxy before server s0. @pre FleetOptions::proxyServer. */
     void setServerFault(const nlohmann::json &fault);
-    /** Sets faults on the way to a node's peer port. @pre Plan::proxies. */
+    /** Sets the faults of the proxy before a node's peer port. @pre FleetOptions::proxies. */
     void setProxyFault(int node, const nlohmann::json &fault);
     nlohmann::json view(int node, const std::string &target);
     nlohmann::json apiStats();
-    /** Writes an object past the command line's checks. */
+    /** Writes an object without the validation that waxwingctl does. */
     bool writeObject(const std::string &kind, const std::string &name, std::uint64_t version,
                      const nlohmann::json &value);
 
@@ -123,15 +126,16 @@
     CallResult read(int node, const std::string &id);
     CallResult book(int node, const std::string &id, const std::string &key, const std::string &body = "seat");
     std::string ticket(int node);
-    /** waxwingctl with these words; its exit code, with the output in @p output. */
-    int ctl(const std::vector<std::string> &words, std::string *output = nullptr, int node = 0);
-    /** Writes intents for the plan's service and waits until they are in force. */
+    /** Runs waxwingctl with these arguments; returns its exit code and puts its output into @p output. */
+    int ctl(const std::vector<std::string> &arguments, std::string *output = nullptr, int node = 0);
+    /** Writes intents for the services and waits until they are in force. */
     void applyIntents();
     std::string intentsFile(const std::string &responseTime = "300ms");
-    /** Executions in the servers' ledgers by X-Request-Id. */
+    /** Returns the number of executions by X-Request-Id, from the servers' ledgers. */
     std::map<std::string, int> executions() const;
-    /** Servers in service, over all nodes that answer. */
+    /** Returns the number of servers in service over all nodes that respond. */
     int inService();
+    /** Returns true if every node lists all servers of every node. */
     bool converged();
 
     Endpoint callers(int node) const;
--- a/tests/support/ManualClock.h
+++ b/tests/support/ManualClock.h
@@ -4,7 +4,7 @@
 
 namespace waxwing::testing {
 
-/** A clock that moves only when told to. */
+/** A clock that changes only by advance(). */
 class ManualClock final : public Clock
 {
 public:
