--- a/tools/demo.cpp
+++ b/tools/demo.cpp
@@ -1,6 +1,7 @@
 /**
- * The main job on loopback: three nodes in different zones, six backend servers of two services, both users' kinds of
- * work; one server is killed and one frozen meanwhile. Prints what happened and why. Exits with 1 if a promise broke.
+ * Runs the main scenario on loopback: three nodes in different zones, six backend servers of two services, and reads
+ * and writes to both services. One server is killed and one is suspended meanwhile. Prints what happened and why. Exits
+ * with 1 if a guarantee was violated.
  */
 #include "src/fiber/FiberLoop.h"
 #include "tests/support/Fleet.h"
@@ -32,11 +33,11 @@
     const CallResult answer =
         fleet.send(node, HttpRequest{"GET", "/sessions/" + id, {{"Host", service}, {"X-Request-Id", id}}, {}});
     ++results.outcomes[service + " reads"][answer.outcome.empty() ? "no answer" : answer.outcome];
-    const bool whole = answer.status != 200 || answer.body.find("\"" + id + "\"") != std::string::npos;
-    results.wrongResponses += whole ? 0 : 1;
+    const bool complete = answer.status != 200 || answer.body.find("\"" + id + "\"") != std::string::npos;
+    results.wrongResponses += complete ? 0 : 1;
 }
 
-/** A booking or redemption with a ticket, sent again through the other nodes until its outcome is known. */
+/** Sends a booking or redemption with a ticket, and resends it through the other nodes until its outcome is known. */
 void writeOnce(Fleet &fleet, Results &results, int node, const std::string &service)
 {
     const std::string id = "write-" + std::to_string(++results.number);
@@ -63,7 +64,7 @@
         const int count = found == executions.end() ? 0 : found->second;
         const bool wrong = count > 1 || (outcome == "not-run" && count > 0) || (outcome == "ran" && count != 1);
         if (wrong) {
-            std::printf("BROKEN: %s was told %s and ran %d times\n", id.c_str(), outcome.c_str(), count);
+            std::printf("VIOLATION: %s was reported %s and ran %d times\n", id.c_str(), outcome.c_str(), count);
             ++violations;
         }
     }
@@ -80,10 +81,10 @@
     std::printf("three nodes and six servers are up; serving for %lld s\n",
                 static_cast<long long>(servingTime.count() / 1000));
     Results results;
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(clients + 1);
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(clients + 1);
     for (int client = 0; client < clients; ++client) {
-        bodies.emplace_back([&, client] {
+        tasks.emplace_back([&, client] {
             const std::string &service = fleet.options().services[static_cast<std::size_t>(client % 2)];
             while (!results.stop) {
                 if (client % 3 == 0) {
@@ -95,17 +96,17 @@
             }
         });
     }
-    bodies.emplace_back([&] {
+    tasks.emplace_back([&] {
         pause(servingTime / 4);
         std::printf("killing server s0 of course-desk\n");
         fleet.server("s0").kill();
         pause(servingTime / 4);
-        std::printf("freezing server s4 of voucher-ledger\n");
+        std::printf("suspending server s4 of voucher-ledger\n");
         fleet.server("s4").signal(SIGSTOP);
         pause(servingTime / 2);
         results.stop = true;
     });
-    runConcurrently(bodies);
+    runConcurrently(tasks);
     fleet.server("s4").signal(SIGCONT);
     for (const auto &[kind, outcomes] : results.outcomes) {
         std::printf("%-22s", kind.c_str());
@@ -117,7 +118,7 @@
     std::string output;
     for (const char *subject : {"s0", "s4"}) {
         fleet.ctl({"explain", subject}, &output);
-        std::printf("why %s:\n%s", subject, output.c_str());
+        std::printf("events of %s:\n%s", subject, output.c_str());
     }
     fleet.ctl({"report", "burn"}, &output);
     std::printf("%s", output.c_str());
@@ -128,7 +129,7 @@
         std::printf("node n%d stopped with %d\n", node, code);
         violations += code == 0 ? 0 : 1;
     }
-    std::printf(violations == 0 ? "every promise held\n" : "%d promises broken\n", violations);
+    std::printf(violations == 0 ? "every guarantee held\n" : "%d guarantees violated\n", violations);
     return violations == 0 ? 0 : 1;
 }
 
