--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,10 +1,12 @@
 /**
- * What one node spends on control as the fleet grows: real processes on loopback, no callers. For each size it prints
- * processor time, memory, link bytes and object API calls, and how long changes take to be in force everywhere.
+ * Measures the control overhead of one node as the fleet grows: real processes on loopback, no callers. For each size
+ * it prints processor time, memory, link bytes and object API calls, and how long changes take to be in force
+ * everywhere.
+ *
  * Run: bench-fleet [NODES or NODESxSERVERS ...]
- *      bench-fleet load NODES RATE...    requests a second, straight and through the fleet, side by side
+ *      bench-fleet load NODES RATE...    requests a second, directly and through the fleet, side by side
  *      bench-fleet ticket NODES RATE...  the same with a ticket for each write
- *      bench-fleet kill                  share of fresh work that is not served after one node of three is killed
+ *      bench-fleet kill                  share of new work that is not served after one node of three is killed
  */
 #include "tests/support/Fleet.h"
 #include "src/fiber/FiberLoop.h"
@@ -55,7 +57,7 @@
     return out;
 }
 
-/** Open-loop load on three nodes and twelve servers, straight and through the fleet. */
+/** Measures open-loop load on twelve servers, directly and through the fleet. */
 void measureLoad(int nodes, const std::vector<std::string> &rates, bool ticket)
 {
     FleetOptions options;
@@ -90,7 +92,10 @@
     }
 }
 
-/** Fresh bookings, each with a ticket of the node it goes to; a caller that can't connect takes another node. */
+/**
+ * Measures new bookings while a node is killed. Each has a ticket of the node it goes to; a caller that can't connect
+ * uses another node.
+ */
 void measureKill()
 {
     constexpr int clients = 60;
@@ -103,10 +108,10 @@
     std::map<std::string, int> reasons;
     const auto start = std::chrono::steady_clock::now();
     const auto elapsed = [&] { return std::chrono::duration_cast<Millis>(std::chrono::steady_clock::now() - start); };
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(clients + 1);
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(clients + 1);
     for (int client = 0; client < clients; ++client) {
-        bodies.emplace_back([&, client] {
+        tasks.emplace_back([&, client] {
             for (int i = 0; elapsed() < length; ++i) {
                 const Millis began = elapsed();
                 int node = client % 3;
@@ -127,11 +132,11 @@
             }
         });
     }
-    bodies.emplace_back([&] {
+    tasks.emplace_back([&] {
         pause(killAfter);
         fleet.node(1).kill();
     });
-    runConcurrently(bodies);
+    runConcurrently(tasks);
     for (const auto &[slice, counts] : buckets) {
         if (counts.second > 0) {
             std::printf("at %+5ld ms: %d of %d not served\n", slice * bucket.count() - killAfter.count(), counts.second,
@@ -190,22 +195,23 @@
 int main(int argc, char **argv)
 {
     setUpLoop();
-    std::vector<std::string> words(argv + 1, argv + argc);
-    const bool load = words.size() > 2 && (words.front() == "load" || words.front() == "ticket");
+    std::vector<std::string> arguments(argv + 1, argv + argc);
+    const bool load = arguments.size() > 2 && (arguments.front() == "load" || arguments.front() == "ticket");
     if (load) {
-        measureLoad(std::atoi(words[1].c_str()), {words.begin() + 2, words.end()}, words.front() == "ticket");
+        measureLoad(std::atoi(arguments[1].c_str()), {arguments.begin() + 2, arguments.end()},
+                    arguments.front() == "ticket");
         endProcess(0);
     }
-    if (!words.empty() && words.front() == "kill") {
+    if (!arguments.empty() && arguments.front() == "kill") {
         measureKill();
         endProcess(0);
     }
-    if (words.empty()) {
-        words = {"3", "6", "12", "24", "36"};
+    if (arguments.empty()) {
+        arguments = {"3", "6", "12", "24", "36"};
     }
-    for (const std::string &word : words) {
-        const std::size_t cross = word.find('x');
-        measure(std::atoi(word.c_str()), cross == std::string::npos ? 2 : std::atoi(word.c_str() + cross + 1));
+    for (const std::string &argument : arguments) {
+        const std::size_t cross = argument.find('x');
+        measure(std::atoi(argument.c_str()), cross == std::string::npos ? 2 : std::atoi(argument.c_str() + cross + 1));
     }
     endProcess(0);
 }
