--- a/include/node/Node.h
+++ b/include/node/Node.h
@@ -38,9 +38,9 @@
     bool stop();
 
 private:
-    struct Parts;
-    explicit Node(std::unique_ptr<Parts> parts);
-    std::unique_ptr<Parts> parts_;
+    struct Impl;
+    explicit Node(std::unique_ptr<Impl> impl);
+    std::unique_ptr<Impl> impl_;
 };
 
 } // namespace waxwing
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -27,9 +27,9 @@
 
 } // namespace
 
-struct Node::Parts {
-    Parts(boost::asio::io_context &ioContext, const Clock &clock, const NodeSettings &settings,
-          std::uint64_t incarnation)
+struct Node::Impl {
+    Impl(boost::asio::io_context &ioContext, const Clock &clock, const NodeSettings &settings,
+         std::uint64_t incarnation)
         : core(ioContext, clock, settings, incarnation, incarnation)
         , platform(core.client, settings.objectApi)
         , burn(clock)
@@ -58,7 +58,7 @@
     std::unique_ptr<HttpServer> operatorServer;
 };
 
-Expected<void> Node::Parts::build()
+Expected<void> Node::Impl::build()
 {
     Kernel &kernel = core.kernel;
     PeerHub::Hooks hooks;
@@ -96,7 +96,7 @@
     return ok;
 }
 
-Expected<void> Node::Parts::listen()
+Expected<void> Node::Impl::listen()
 {
     Expected<void> peerPort = peers->listen(core.settings.peers);
     if (!peerPort) {
@@ -133,7 +133,7 @@
     return {};
 }
 
-void Node::Parts::route(LinkId link, const NodeRef &from, const Message &message)
+void Node::Impl::route(LinkId link, const NodeRef &from, const Message &message)
 {
     if (gossip->handle(link, from, message)) {
         return;
@@ -148,7 +148,7 @@
     }
 }
 
-void Node::Parts::housekeepingLoop()
+void Node::Impl::housekeepingLoop()
 {
     while (!core.stopping) {
         sleepFor(core.ioContext, housekeepingInterval);
@@ -161,68 +161,68 @@
 Expected<std::unique_ptr<Node>> Node::MakeStarted(boost::asio::io_context &ioContext, const Clock &clock,
                                                   const NodeSettings &settings, std::uint64_t incarnation)
 {
-    auto parts = std::make_unique<Parts>(ioContext, clock, settings, incarnation);
-    Expected<void> ok = parts->build();
-    ok = ok ? parts->listen() : ok;
+    auto impl = std::make_unique<Impl>(ioContext, clock, settings, incarnation);
+    Expected<void> ok = impl->build();
+    ok = ok ? impl->listen() : ok;
     if (!ok) {
         return tl::unexpected<Error>(ok.error());
     }
-    parts->gossip->start();
-    parts->members->start();
-    parts->intents->start();
-    parts->homes->start();
-    parts->floors->start();
-    spawnFiber([raw = parts.get()] { raw->housekeepingLoop(); });
-    parts->core.events.write(Severity::Info, "node_started",
-                             {{"node", parts->core.self.text()},
-                              {"callers", parts->core.settings.callers.text()},
-                              {"peers", parts->core.settings.advertisedPeers.text()},
-                              {"operators", parts->core.settings.operators.text()}});
-    return std::unique_ptr<Node>(new Node(std::move(parts)));
+    impl->gossip->start();
+    impl->members->start();
+    impl->intents->start();
+    impl->homes->start();
+    impl->floors->start();
+    spawnFiber([raw = impl.get()] { raw->housekeepingLoop(); });
+    impl->core.events.write(Severity::Info, "node_started",
+                            {{"node", impl->core.self.text()},
+                             {"callers", impl->core.settings.callers.text()},
+                             {"peers", impl->core.settings.advertisedPeers.text()},
+                             {"operators", impl->core.settings.operators.text()}});
+    return std::unique_ptr<Node>(new Node(std::move(impl)));
 }
 
-Node::Node(std::unique_ptr<Parts> parts)
-    : parts_(std::move(parts))
+Node::Node(std::unique_ptr<Impl> impl)
+    : impl_(std::move(impl))
 { }
 
 Node::~Node() = default;
 
 void Node::flushLog()
 {
-    parts_->core.events.flush();
+    impl_->core.events.flush();
 }
 
 void Node::reload(const NodeSettings &settings)
 {
     // Names and addresses stay, because other nodes identify this node by them.
-    parts_->core.settings.limits = settings.limits;
-    parts_->core.settings.times = settings.times;
-    parts_->core.events.write(Severity::Info, "settings_reloaded", {{"node", parts_->core.self.text()}});
+    impl_->core.settings.limits = settings.limits;
+    impl_->core.settings.times = settings.times;
+    impl_->core.events.write(Severity::Info, "settings_reloaded", {{"node", impl_->core.self.text()}});
 }
 
 bool Node::stop()
 {
-    NodeCore &core = parts_->core;
+    NodeCore &core = impl_->core;
     const SteadyTime until = core.clock.now() + core.settings.times.stopWithin;
     const auto left = [&] { return std::max(Duration(0), until - core.clock.now()); };
     core.events.write(Severity::Info, "node_stopping", {{"node", core.self.text()}});
     core.draining = true;
-    parts_->callerServer->drain();
-    parts_->homes->redirectServers();
-    parts_->claims->handOver(left());
+    impl_->callerServer->drain();
+    impl_->homes->redirectServers();
+    impl_->claims->handOver(left());
     const auto busy = [&] {
-        return parts_->ingress->running() > 0 || parts_->homes->running() > 0
-               || parts_->callerServer->requestsInFlight() > 0 || parts_->homes->presentServers() > 0;
+        return impl_->ingress->running() > 0 || impl_->homes->running() > 0
+               || impl_->callerServer->requestsInFlight() > 0 || impl_->homes->presentServers() > 0;
     };
     while (busy() && left() > Duration(0)) {
         sleepFor(core.ioContext, stopPollInterval);
     }
-    const bool clean = parts_->ingress->running() == 0 && parts_->homes->running() == 0;
-    parts_->gossip->leave();
+    const bool clean = impl_->ingress->running() == 0 && impl_->homes->running() == 0;
+    impl_->gossip->leave();
     sleepFor(core.ioContext, leaveGrace);
     core.stopping = true;
-    parts_->operatorServer->drain();
-    parts_->peers->stop();
+    impl_->operatorServer->drain();
+    impl_->peers->stop();
     core.events.write(clean ? Severity::Info : Severity::Error, "node_stopped",
                       {{"node", core.self.text()}, {"cleanly", clean ? "yes" : "no"}});
     return clean;
