--- a/include/fleet/FleetConfig.h
+++ b/include/fleet/FleetConfig.h
@@ -11,10 +11,10 @@
 
 namespace waxwing {
 
-/** One of the services among which a route divides its requests. */
+/** A service of a route and the weight of its share of the requests. */
 struct WeightedService {
     std::string service;
-    /** Relative to the other parts of the route. */
+    /** Relative to the weights of the route's other services. */
     std::uint32_t weight = 1;
 };
 
@@ -24,20 +24,20 @@
     std::string host;
     /** Begins and ends with a slash. */
     std::string prefix;
-    /** False: a request runs at most once. */
+    /** If false, a request runs at most once. */
     bool idempotent = false;
-    /** An answer within this time counts in full. */
+    /** A response within this time counts in full. */
     Millis responseTime{1000};
-    /** The longest that a request is kept waiting. */
+    /** A request does not wait longer than this. */
     Millis timeout{5000};
-    /** Servers to which one request may be sent, one after the other. */
+    /** Maximum number of servers to which one request is sent, one after the other. */
     int maxAttempts = 1;
-    /** 0 is the most urgent. */
+    /** 0 is the highest priority. */
     int priority = 0;
     std::vector<WeightedService> services;
 };
 
-/** Bounds on what a caller may send and how long it may take. */
+/** Limits on the size and duration of a caller's request. */
 struct CallerLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 1024UL * 1024;
@@ -45,22 +45,22 @@
     Millis idleTimeout = std::chrono::seconds(15);
 };
 
-/** One version of the configuration of the whole fleet. Immutable once built; a value. */
+/** One version of the fleet's configuration. A value; immutable once built. */
 class FleetConfig
 {
 public:
-    /** Versions compare as numbers; 0 is none. */
+    /** Versions compare as numbers; 0 means none. */
     std::uint64_t version = 0;
     CallerLimits limits;
-    /** The document as it was published, for nodes that learn it from this one. */
+    /** The published document, for nodes that fetch the configuration from this node. */
     std::string source;
-    /** What the operator should look at, though the version is good enough to come into force. */
+    /** Problems that the operator should check but that do not keep the version from coming into force. */
     Findings warnings;
 
     void addRoute(Route route);
     /**
-     * The route of @p host (any case, with or without a port) with the longest prefix of @p target, or null.
-     * Takes one look-up for each path segment, so that 75,000 routes cost as much as ten. Thread safe.
+     * Returns the route of @p host (any case, with or without a port) with the longest prefix of @p target, or null.
+     * Takes one lookup per path segment, so that 75,000 routes cost as much as ten. Thread safe.
      */
     const Route *routeFor(std::string_view host, std::string_view target) const;
     std::size_t routeCount() const;
--- a/src/fleet/FleetConfig.cpp
+++ b/src/fleet/FleetConfig.cpp
@@ -9,7 +9,7 @@
 
 std::string hostKey(std::string_view host)
 {
-    // An IPv6 literal keeps its colons; only a port after the closing bracket goes.
+    // An IPv6 literal keeps its colons; only a port after the closing bracket is removed.
     const std::size_t bracket = host.rfind(']');
     const std::size_t colon = host.rfind(':');
     if (colon != std::string_view::npos && (bracket == std::string_view::npos || colon > bracket)) {
