--- a/include/fleet/Freshness.h
+++ b/include/fleet/Freshness.h
@@ -6,39 +6,43 @@
 
 namespace waxwing {
 
-/** How old knowledge may be. */
+/** Limits on the age of the state that a node holds. */
 struct FreshnessTuning {
-    /** A node begins to take callers with knowledge of this age at most: well within the time a change has. */
+    /**
+     * A node starts to accept callers with state of at most this age: well within the time in which a change must take
+     * effect.
+     */
     Millis maxAgeToStart{1500};
-    /** It goes on to take them up to this age, which leaves room for asking more than once. */
+    /** It continues to accept them up to this age, which leaves time for more than one request for newer state. */
     Millis maxAge{4000};
-    /** A failed attempt to ask shows for this long that there is no way to know better. */
+    /** How long a failed request counts as proof that no newer state can be obtained. */
     Millis failureValidFor{4000};
 };
 
 /**
- * How long ago it is known that nothing newer existed than what a node holds. Holding something says nothing about
- * that: a version may be replaced while it is read, and an open connection that is silent may be a dead one.
- * Not thread safe.
+ * Tracks when the state that a node holds was last known to be the newest. Holding a version does not prove that: it
+ * may be replaced while it is read, and an open connection that is silent may be dead. Not thread safe.
  */
 class Freshness
 {
 public:
     explicit Freshness(FreshnessTuning tuning = {});
-    /** Nothing newer existed at @p confirmedAt; for a call, when it was sent, since its answer may be read much later.
+    /**
+     * Records that nothing newer existed at @p confirmedAt. For a request this is the time at which it was sent, since
+     * its response may be read much later.
      */
     void confirm(SteadyTime confirmedAt);
-    /** An attempt to ask that began at @p began ended at @p ended without an answer. */
-    void noteFailure(SteadyTime began, SteadyTime ended);
-    /** Nothing if it was never confirmed. */
+    /** Records that a request sent at @p startedAt ended without a response at @p endedAt. */
+    void noteFailure(SteadyTime startedAt, SteadyTime endedAt);
+    /** Returns the time since the last confirmation; nothing if there was none. */
     std::optional<Duration> age(SteadyTime now) const;
-    /** True if it was never confirmed, or is older than @p limit. */
+    /** True if the state was never confirmed or its last confirmation is older than @p limit. */
     bool isOlderThan(Duration limit, SteadyTime now) const;
-    /** An attempt that began after @p when has failed, and nothing was confirmed since. */
+    /** True if a request that started after @p when has failed and nothing was confirmed since. */
     bool hasFailedSince(SteadyTime when) const;
     /**
-     * Whether callers may be served with what is held: it is fresh, or an attempt to learn better has just failed.
-     * @p servesNow: this node takes callers already.
+     * Returns whether the node may serve callers with the state that it holds: the state is fresh, or a request for
+     * newer state has just failed. @p servesNow: the node accepts callers already.
      */
     bool mayServeCallers(SteadyTime now, bool servesNow) const;
 
--- a/src/fleet/Freshness.cpp
+++ b/src/fleet/Freshness.cpp
@@ -13,10 +13,10 @@
     confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, confirmedAt) : confirmedAt;
 }
 
-void Freshness::noteFailure(SteadyTime began, SteadyTime ended)
+void Freshness::noteFailure(SteadyTime startedAt, SteadyTime endedAt)
 {
-    failureStartedAt_ = began;
-    failureEndedAt_ = ended;
+    failureStartedAt_ = startedAt;
+    failureEndedAt_ = endedAt;
 }
 
 std::optional<Duration> Freshness::age(SteadyTime now) const
