--- a/include/fleet/WeightedRoundRobin.h
+++ b/include/fleet/WeightedRoundRobin.h
@@ -8,16 +8,16 @@
 namespace waxwing {
 
 /**
- * Divides the requests of each route among its parts by weight. Smooth weighted round robin: after n requests no part
- * is more than one request away from its share, which a random draw would need thousands of requests for.
- * Not thread safe.
+ * Divides the requests of each route among its services by weight. Smooth weighted round robin: after n requests no
+ * service is more than one request away from its share; random choice would need thousands of requests for that. Not
+ * thread safe.
  */
 class WeightedRoundRobin
 {
 public:
-    /** The service for the next request of @p route. @pre it has a part. */
+    /** Returns the service for the next request of @p route. @pre the route has a service. */
     const std::string &pick(const Route &route);
-    /** Forgets the routes' positions, as for a new configuration. */
+    /** Discards the state of all routes, as for a new configuration. */
     void clear();
 
 private:
--- a/src/fleet/WeightedRoundRobin.cpp
+++ b/src/fleet/WeightedRoundRobin.cpp
@@ -10,11 +10,11 @@
     std::map<std::string, std::int64_t> &credits = credits_[route.name];
     std::int64_t total = 0;
     const WeightedService *best = nullptr;
-    for (const WeightedService &weighted : route.services) {
-        total += weighted.weight;
-        credits[weighted.service] += weighted.weight;
-        if (best == nullptr || credits[weighted.service] > credits[best->service]) {
-            best = &weighted;
+    for (const WeightedService &candidate : route.services) {
+        total += candidate.weight;
+        credits[candidate.service] += candidate.weight;
+        if (best == nullptr || credits[candidate.service] > credits[best->service]) {
+            best = &candidate;
         }
     }
     credits[best->service] -= total;
