--- a/include/fleet/NodeRegistry.h
+++ b/include/fleet/NodeRegistry.h
@@ -10,10 +10,10 @@
 
 namespace waxwing {
 
-/** What every node tells the others about itself: where it is and for which service's server it is the home. */
+/** What a node publishes about itself: its address and the service whose server it is the home of. */
 struct RegistryEntry {
     std::string id;
-    /** Where other nodes open links to it; which incarnation listens there is learned from the link. */
+    /** Where other nodes open links to it. Which incarnation listens there is learned from the link. */
     Endpoint links;
     std::string zone;
     std::string region;
@@ -23,30 +23,31 @@
     std::uint64_t revision = 0;
 };
 
-/** Holders keep an entry as it was while others of the node's fibers change the roster. */
+/** Immutable, so that an entry stays as it was for its holder while other fibers of the node change the registry. */
 using RegistryEntryPtr = std::shared_ptr<const RegistryEntry>;
 
-/**
- * The nodes of the fleet as last read from the store, or from a node that read it later. Not thread safe.
- */
+/** The nodes of the fleet, as last read from the store or from a node that read it later. Not thread safe. */
 class NodeRegistry
 {
 public:
-    /** Takes @p entry unless a newer version of it is known. Returns whether anything changed. */
+    /** Stores @p entry unless the same or a newer version of it is known. Returns whether anything changed. */
     bool put(const RegistryEntry &entry);
-    /** Takes an entry that this node has written: what others changed before that has not been seen. */
+    /**
+     * Stores an entry that this node has written. The revision of the registry does not advance, since earlier changes
+     * of other nodes have not been seen.
+     */
     bool putOwn(const RegistryEntry &entry);
     /** Removes the node unless an entry newer than @p revision is known. */
     bool remove(const std::string &id, std::uint64_t revision);
     /**
-     * Replaces what was written up to @p revision by a full list of that revision; an older list than the one held is
-     * ignored.
+     * Replaces all entries written up to @p revision by a full list of that revision. Ignores a list that is older than
+     * the one held.
      */
     bool replace(const std::vector<RegistryEntry> &entries, std::uint64_t revision);
-    /** The store was seen at this revision. */
+    /** Records that the store was read at this revision. */
     void advance(std::uint64_t revision);
 
-    /** Null if there is none. */
+    /** Returns null if there is no such node. */
     RegistryEntryPtr find(const std::string &id) const;
     std::vector<RegistryEntryPtr> homesOf(const std::string &service) const;
     std::vector<RegistryEntryPtr> all() const;
--- a/src/fleet/NodeRegistry.cpp
+++ b/src/fleet/NodeRegistry.cpp
@@ -18,11 +18,11 @@
 
 bool NodeRegistry::put(const RegistryEntry &entry)
 {
-    const bool taken = putOwn(entry);
-    if (taken) {
+    const bool stored = putOwn(entry);
+    if (stored) {
         advance(entry.revision);
     }
-    return taken;
+    return stored;
 }
 
 bool NodeRegistry::remove(const std::string &id, std::uint64_t revision)
