--- a/include/fleet/RttEstimator.h
+++ b/include/fleet/RttEstimator.h
@@ -5,19 +5,19 @@
 namespace waxwing {
 
 /**
- * How long an answer on one path may take before the path is in doubt: smoothed round trip and its mean deviation, as
- * TCP sets its retransmission timeout (RFC 6298). With one timeout for all paths, those to a busy VM or over a narrow
- * link were taken for broken whenever they were busy. Not thread safe.
+ * Computes how long a response on one path may take before the path is suspected: smoothed round trip time and its mean
+ * deviation, as in TCP's retransmission timeout (RFC 6298). With one timeout for all paths, those to a busy VM or over
+ * a narrow link were treated as failed whenever they were busy. Not thread safe.
  */
 class RttEstimator
 {
 public:
-    /** An answer took @p sample. */
+    /** Adds the round trip time of a response. */
     void add(Duration sample);
-    /** The path was taken for broken and was not: doubles the timeout until an answer is measured. */
+    /** Records a timeout on a path that had not failed: doubles the timeout until the next response is measured. */
     void noteSpuriousTimeout();
-    /** @p least: what a healthy path may always take, with some time for a busy VM. */
-    Duration timeout(Duration least) const;
+    /** Returns the timeout. @p minTimeout: what a healthy path may always take, with some margin for a busy VM. */
+    Duration timeout(Duration minTimeout) const;
 
 private:
     Duration smoothed_{0};
--- a/src/fleet/RttEstimator.cpp
+++ b/src/fleet/RttEstimator.cpp
@@ -11,9 +11,9 @@
 constexpr int deviationDivisor = 4;
 constexpr int deviationFactor = 4;
 constexpr int maxSpuriousTimeouts = 3;
-/** A cut must be found well within the time that a caller has. */
+/** A network cut must be detected well within a caller's timeout. */
 constexpr Duration maxTimeout = std::chrono::milliseconds(1500);
-/** What a cut held up for seconds says little about the path once it is whole again. */
+/** A response that a network cut delayed by seconds says little about the path after the cut. */
 constexpr Duration maxSample = std::chrono::milliseconds(600);
 
 } // namespace
@@ -25,8 +25,8 @@
         smoothed_ = sample;
         deviation_ = sample / 2;
     } else {
-        const Duration off = sample > smoothed_ ? sample - smoothed_ : smoothed_ - sample;
-        deviation_ += (off - deviation_) / deviationDivisor;
+        const Duration error = sample > smoothed_ ? sample - smoothed_ : smoothed_ - sample;
+        deviation_ += (error - deviation_) / deviationDivisor;
         smoothed_ += (sample - smoothed_) / smoothingDivisor;
     }
     spuriousTimeouts_ = 0;
@@ -37,10 +37,10 @@
     spuriousTimeouts_ = std::min(maxSpuriousTimeouts, spuriousTimeouts_ + 1);
 }
 
-Duration RttEstimator::timeout(Duration least) const
+Duration RttEstimator::timeout(Duration minTimeout) const
 {
-    const Duration usual = std::max(least, smoothed_ + deviationFactor * deviation_);
-    return std::max(least, std::min(maxTimeout, usual * (1 << spuriousTimeouts_)));
+    const Duration base = std::max(minTimeout, smoothed_ + deviationFactor * deviation_);
+    return std::max(minTimeout, std::min(maxTimeout, base * (1 << spuriousTimeouts_)));
 }
 
 } // namespace waxwing
