--- a/include/fleet/LinkDelayEstimator.h
+++ b/include/fleet/LinkDelayEstimator.h
@@ -5,19 +5,25 @@
 namespace waxwing {
 
 /**
- * Tells how late a message arrives on one link without comparing clocks. A cut that heals delivers what was written
- * into the link before it, seconds later, when its sender has long given the work to another home. Both ends say how
- * old the link's Hello is to them; the difference is the time under way of Hello and message together. The shortest one
- * seen is the link's own delay, and what exceeds it is lateness. Not thread safe.
+ * Measures by how much a message on one link was delayed in transit, without comparing clocks. When a network cut
+ * heals, a link delivers what was written to it before the cut, seconds later, when the sender has long handed the work
+ * to another home. Both ends report the age of the link's Hello on their own clock; the difference is the transit time
+ * of Hello and message together. The smallest difference seen is the link's base delay; what exceeds it is excess
+ * delay. Not thread safe.
  */
 class LinkDelayEstimator
 {
 public:
-    /** @p ageHere and @p ageThere: of the Hello, here now and at the sender when it sent. Never negative. */
+    /**
+     * Returns the excess delay, never negative. @p ageHere: age of the Hello here now. @p ageThere: its age at the
+     * sender when the message was sent.
+     */
     Millis excessDelay(Duration ageHere, Duration ageThere);
 
 private:
-    /** A Hello that was itself late must not pass as the link's own delay; the longest round trip in use is far less.
+    /**
+     * Upper bound, so that a Hello that was itself delayed does not count as base delay. The longest round trip in use
+     * is far shorter.
      */
     Duration baseDelay_ = std::chrono::milliseconds(500);
 };
--- a/src/fleet/LinkDelayEstimator.cpp
+++ b/src/fleet/LinkDelayEstimator.cpp
@@ -6,9 +6,9 @@
 
 Millis LinkDelayEstimator::excessDelay(Duration ageHere, Duration ageThere)
 {
-    const Duration underWay = std::max(Duration(0), ageHere - ageThere);
-    baseDelay_ = std::min(baseDelay_, underWay);
-    return std::chrono::duration_cast<Millis>(underWay - baseDelay_);
+    const Duration transitTime = std::max(Duration(0), ageHere - ageThere);
+    baseDelay_ = std::min(baseDelay_, transitTime);
+    return std::chrono::duration_cast<Millis>(transitTime - baseDelay_);
 }
 
 } // namespace waxwing
