--- a/src/fleet/WatchElection.cpp
+++ b/src/fleet/WatchElection.cpp
@@ -55,9 +55,9 @@
     }
 }
 
-void WatchElection::noteStoreReachable(const std::string &node, bool answers, SteadyTime now)
+void WatchElection::noteStoreReachable(const std::string &node, bool reachable, SteadyTime now)
 {
-    if (answers) {
+    if (reachable) {
         excludedUntil_.erase(node);
     } else {
         excludedUntil_[node] = now + tuning_.excludedFor;
@@ -66,12 +66,12 @@
 
 WatchRole WatchElection::role(std::optional<Duration> age, SteadyTime now)
 {
-    const bool old = !age || *age > tuning_.standInAfter;
-    // In an outage all are passed over, and each node would be elected by its own account.
-    if (elected_ && !(isReplacement_ && old)) {
+    const bool stale = !age || *age > tuning_.standInAfter;
+    // In an outage of the store all other nodes are excluded, and each node would elect itself.
+    if (elected_ && !(isReplacement_ && stale)) {
         return WatchRole::Watcher;
     }
-    if (old) {
+    if (stale) {
         standInUntil_ = now + tuning_.standInFor;
     }
     return now < standInUntil_ ? WatchRole::StandIn : WatchRole::Follower;
