--- a/src/sidecar/StateUpdateService.cpp
+++ b/src/sidecar/StateUpdateService.cpp
@@ -15,20 +15,22 @@
 namespace {
 
 constexpr Millis checkInterval{100};
-/** Time for the store to tell of a change that another node has heard of already. */
+/** Time for the store to report a change that another node has reported already. */
 constexpr Millis storeNotifyTimeout{300};
-/** A version that this node does not accept must not make it ask the store all the time. */
+/** Keeps a version that this node rejects from causing continuous calls to the store. */
 constexpr Millis storePollInterval{700};
-/** Time for the store to tell a node that has just started. */
+/** Time for the store to answer a node that has just started. */
 constexpr Millis storeStartTimeout{1000};
 /** A large configuration takes seconds over a narrow link; a copy from a second node would only delay the first. */
 constexpr Millis configRequestTimeout{4000};
-/** From this age on the other nodes are asked, which costs less than asking the store. */
+/** State of this age is checked with other nodes, which costs less than a call to the store. */
 constexpr Millis versionRequestAge{1200};
-/** A follower asks sooner: its answer must come before it stands in for the watchers. */
+/** A follower checks earlier: the reply must arrive before it becomes a stand-in. */
 constexpr Millis followerVersionRequestAge{900};
 constexpr Millis versionRequestInterval{400};
-/** A larger document is told of and not sent: read from the store it holds up no watcher's link. */
+/**
+ * A larger document is announced but not sent: nodes read it from the store, and it does not block a watcher's links.
+ */
 constexpr std::size_t maxPushedConfigBytes = 16UL * 1024;
 
 } // namespace
@@ -76,18 +78,18 @@
     }
 }
 
-void StateUpdateService::noteVersions(LinkId link, const KnownVersions &theirs)
+void StateUpdateService::noteVersions(LinkId link, const KnownVersions &peerVersions)
 {
-    // How long it was under way is not known, so it does not show that a node may begin to take callers.
+    // The transit time of this message is unknown, so it does not show that a starting node may accept callers.
     ConfigSync &config = core_.service<ConfigSync>("config");
     const SteadyTime now = core_.clock.now();
     if (!isFollower() && config.freshness().mayServeCallers(now, true)) {
-        confirmFreshness(theirs, now);
+        confirmFreshness(peerVersions, now);
     }
     if (const std::optional<NodeRef> peer = core_.service<PeerHub>("peers").peerOn(link)) {
-        core_.service<RegionWatch>("region-watch").noteStoreReachable(peer->id, theirs.isStoreReachable);
+        core_.service<RegionWatch>("region-watch").noteStoreReachable(peer->id, peerVersions.isStoreReachable);
     }
-    noteNewerVersions(link, theirs);
+    noteNewerVersions(link, peerVersions);
 }
 
 bool StateUpdateService::isFollower() const
@@ -107,31 +109,31 @@
     if (document.size() <= maxPushedConfigBytes) {
         update.config = document;
     }
-    std::size_t told = 0;
+    std::size_t notified = 0;
     for (const LinkId link : region.regionLinks()) {
-        told += core_.service<PeerHub>("peers").reply(link, update) ? 1 : 0;
+        notified += core_.service<PeerHub>("peers").reply(link, update) ? 1 : 0;
     }
     core_.events.write(Severity::Info, "region_told",
-                       {{"version", std::to_string(update.versions.config)}, {"nodes", std::to_string(told)}});
+                       {{"version", std::to_string(update.versions.config)}, {"nodes", std::to_string(notified)}});
 }
 
-void StateUpdateService::confirmFreshness(const KnownVersions &theirs, SteadyTime sentAfter)
+void StateUpdateService::confirmFreshness(const KnownVersions &peerVersions, SteadyTime sentAt)
 {
     ConfigSync &config = core_.service<ConfigSync>("config");
-    if (theirs.config == config.version() && theirs.configAge < KnownVersions::maxConfigAge) {
-        config.freshness().confirm(sentAfter - theirs.configAge);
+    if (peerVersions.config == config.version() && peerVersions.configAge < KnownVersions::maxConfigAge) {
+        config.freshness().confirm(sentAt - peerVersions.configAge);
     }
 }
 
-void StateUpdateService::noteNewerVersions(LinkId link, const KnownVersions &theirs)
+void StateUpdateService::noteNewerVersions(LinkId link, const KnownVersions &peerVersions)
 {
     const std::uint64_t held = core_.service<ConfigSync>("config").version();
     const SteadyTime now = core_.clock.now();
-    if (theirs.config > held && (!newerConfig_ || theirs.config > newerConfig_->version)) {
-        newerConfig_ = NewerVersion{link, theirs.config, newerConfig_ ? newerConfig_->since : now};
+    if (peerVersions.config > held && (!newerConfig_ || peerVersions.config > newerConfig_->version)) {
+        newerConfig_ = NewerVersion{link, peerVersions.config, newerConfig_ ? newerConfig_->since : now};
     }
-    const bool newerRoster = theirs.registry > core_.service<RegistrySync>("registry").registry().revision();
-    if (newerRoster && isStoreUnreachable() && now - lastRequestAt_ >= versionRequestInterval) {
+    const bool newerRegistry = peerVersions.registry > core_.service<RegistrySync>("registry").registry().revision();
+    if (newerRegistry && isStoreUnreachable() && now - lastRequestAt_ >= versionRequestInterval) {
         sendRequest(link, false, true);
     }
 }
@@ -155,15 +157,16 @@
         storePolledAt_ = now;
         config.requestPoll();
     }
-    const std::optional<LinkId> holder = configRequestLink();
-    if (holder && (!configRequestedOn_ || now >= configRequestDeadline_)) {
-        configRequestedOn_ = holder;
+    const std::optional<LinkId> source = configRequestLink();
+    if (source && (!configRequestedOn_ || now >= configRequestDeadline_)) {
+        configRequestedOn_ = source;
         configRequestDeadline_ = now + configRequestTimeout;
-        sendRequest(*holder, true, isStoreUnreachable());
+        sendRequest(*source, true, isStoreUnreachable());
         return;
     }
-    const bool old = config.freshness().isOlderThan(isFollower() ? followerVersionRequestAge : versionRequestAge, now);
-    if (config.version() == 0 || !old || now - lastRequestAt_ < versionRequestInterval) {
+    const bool stale =
+        config.freshness().isOlderThan(isFollower() ? followerVersionRequestAge : versionRequestAge, now);
+    if (config.version() == 0 || !stale || now - lastRequestAt_ < versionRequestInterval) {
         return;
     }
     if (const std::optional<LinkId> other = versionRequestLink()) {
@@ -233,11 +236,11 @@
         config.applyDocument(update.config, from.id);
     }
     core_.service<RegistrySync>("registry").applyPeerList(update.registry, update.versions.registry);
-    const auto asked = pendingRequests_.find(link);
-    // An answer to a later question shows at least what one to the oldest would.
-    if (asked != pendingRequests_.end() && update.id >= asked->second.id) {
-        confirmFreshness(update.versions, asked->second.sentAt);
-        pendingRequests_.erase(asked);
+    const auto pending = pendingRequests_.find(link);
+    // A reply to a later request confirms at least as much as one to the oldest request.
+    if (pending != pendingRequests_.end() && update.id >= pending->second.id) {
+        confirmFreshness(update.versions, pending->second.sentAt);
+        pendingRequests_.erase(pending);
     }
     core_.service<RegionWatch>("region-watch").noteStoreReachable(from.id, update.versions.isStoreReachable);
     noteNewerVersions(link, update.versions);
--- a/src/sidecar/StateUpdateService.h
+++ b/src/sidecar/StateUpdateService.h
@@ -13,33 +13,34 @@
 struct NodeCore;
 
 /**
- * Lets nodes learn from each other what the store has not told them. Every message about work carries the versions that
- * its sender holds and how long ago it was known that no newer configuration existed. Who holds the same is confirmed
- * by that; who sees a higher version asks the store, and the other node if the store does not answer here. So a node
- * that the store turns away, or whose watch went silent, is as current as the nodes it works with.
+ * Exchanges versions and state between nodes, for what the store has not delivered. Every message about work carries
+ * the versions that its sender holds and the time since the configuration was known to be the newest. It confirms the
+ * state of a receiver that holds the same version. A receiver with a lower version polls the store, and requests the
+ * state from the sender if the store does not answer. So a node that cannot reach the store, or whose watch went
+ * silent, is as current as the nodes it works with.
  *
- * A node that follows its region's watchers has nothing but their word. It asks them, and takes as the age of their
- * word that of its own question: a message that was held up on its way confirms nothing there. Not thread safe.
+ * A follower has no source but its region's watchers. It sends them requests, and dates a reply by the time at which it
+ * sent the request: a message that was delayed in transit confirms nothing to a follower. Not thread safe.
  */
 class StateUpdateService
 {
 public:
     explicit StateUpdateService(NodeCore &core);
-    /** Starts the fiber that asks. */
+    /** Starts the fiber that sends the requests. */
     void start();
-    /** What this node holds. */
+    /** Returns the versions that this node holds. */
     KnownVersions versions();
     void linkOpened(LinkId link);
     void linkClosed(LinkId link);
-    /** A message about work came on @p link from a node that holds these. */
-    void noteVersions(LinkId link, const KnownVersions &theirs);
+    /** Handles the versions in a message about work that came on @p link. */
+    void noteVersions(LinkId link, const KnownVersions &peerVersions);
     void handleRequest(LinkId link, const StateUpdateRequest &request);
-    void handleUpdate(LinkId link, const NodeRef &from, const StateUpdate &news);
-    /** The configuration changed: if this node watches the store for its region, tells the region's nodes. */
+    void handleUpdate(LinkId link, const NodeRef &from, const StateUpdate &update);
+    /** Handles a change of the configuration: a watcher sends an update to the nodes of its region. */
     void configChanged();
 
 private:
-    /** Somebody holds a higher version. */
+    /** Another node holds a higher version. */
     struct NewerVersion {
         LinkId link = 0;
         std::uint64_t version = 0;
@@ -51,14 +52,14 @@
         SteadyTime sentAt;
     };
 
-    void noteNewerVersions(LinkId link, const KnownVersions &theirs);
-    void confirmFreshness(const KnownVersions &theirs, SteadyTime sentAfter);
+    void noteNewerVersions(LinkId link, const KnownVersions &peerVersions);
+    void confirmFreshness(const KnownVersions &peerVersions, SteadyTime sentAt);
     void run();
     void sendRequestIfNeeded();
-    /** The link to ask for the configuration itself; nothing as long as the store is likely to bring it. */
+    /** Returns the link on which to request the configuration; nothing while the store is likely to deliver it. */
     std::optional<LinkId> configRequestLink();
     std::optional<LinkId> randomLink();
-    /** Whom to ask which versions it holds: a watcher, unless it has left a question unanswered. */
+    /** Returns the link on which to request versions: a watcher's, unless it has left a request unanswered. */
     std::optional<LinkId> versionRequestLink();
     bool isFollower() const;
     void sendRequest(LinkId link, bool wantsConfig, bool wantsRegistry);
@@ -68,10 +69,10 @@
     std::set<LinkId> links_;
     SteadyTime startedAt_;
     std::optional<NewerVersion> newerConfig_;
-    /** A question for the configuration is under way until then, and no second one is sent. */
+    /** A request for the configuration is pending until the deadline, and no second one is sent. */
     std::optional<LinkId> configRequestedOn_;
     SteadyTime configRequestDeadline_;
-    /** The oldest question that is unanswered on each link. */
+    /** The oldest unanswered request on each link. */
     std::map<LinkId, PendingRequest> pendingRequests_;
     std::uint64_t nextRequestId_ = 1;
     SteadyTime lastRequestAt_;
