--- a/src/sidecar/RegistrySync.cpp
+++ b/src/sidecar/RegistrySync.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/** New nodes must be known soon, but a hundred that start together should cost the others a few calls each. */
+/** New nodes must be known soon, but a hundred that start together should cost each other node only a few calls. */
 constexpr Millis changeBatchDelay{400};
 /**
- * Reads of old state cost a tenth and are not counted, so waits can be short: a watch that has gone silent is noticed
- * within the longest one.
+ * Stale reads cost a tenth and are not counted, so waits can be short: a watch that has gone silent is noticed within
+ * the longest one.
  */
 constexpr Millis minRegistryWait{2000};
 constexpr Millis maxRegistryWait{4000};
@@ -116,15 +116,15 @@
     Millis pause = publishInterval;
     std::uint64_t version = 0;
     while (!core_.stopping && !ownEntryRemoved_) {
-        // The first list tells whether an entry from before this start still holds.
+        // The first list shows whether an entry from before this start is still valid.
         if (!hasList_ || isOwnEntryCurrent()) {
             sleepFor(core_.ioContext, publishInterval);
             pause = publishInterval;
             continue;
         }
         const RegistryEntry own = ownEntry(core_.settings);
-        const RegistryEntryPtr standing = registry_.find(own.id);
-        version = standing != nullptr ? std::max(version, standing->revision) : version;
+        const RegistryEntryPtr stored = registry_.find(own.id);
+        version = stored != nullptr ? std::max(version, stored->revision) : version;
         const UpdateResult result =
             api.update(platform::registryKind, own.id, version, platform::encodeRegistryEntry(own));
         switch (result.kind) {
@@ -136,12 +136,12 @@
             break;
         }
         case UpdateResult::Kind::Conflict:
-            // Written by an earlier process of this node, or by a call of ours that took effect late.
+            // Written by an earlier process of this node, or by a call of this one that took effect late.
             version = result.current ? result.current->version : 0;
             break;
         case UpdateResult::Kind::NotStored:
         case UpdateResult::Kind::Unknown:
-            // Repeating is safe: the entry is the same, and the condition refuses it where it is there already.
+            // Retrying is safe: the entry is the same, and the conditional update fails if it is stored already.
             core_.events.write(Severity::Warning, "roster_entry_not_written", {{"reason", result.message}});
             sleepFor(core_.ioContext, pause);
             pause = std::min(maxPublishBackoff, pause * 2);
--- a/src/sidecar/RegistrySync.h
+++ b/src/sidecar/RegistrySync.h
@@ -13,9 +13,9 @@
 class StoreWatch;
 
 /**
- * Keeps the list of the fleet's nodes: writes this node's own entry once and watches the others'. An entry says nothing
- * that a restart of the same node changes, so a restarted node has nothing to write and is found while the store is
- * away. Not thread safe.
+ * Keeps the list of the fleet's nodes: writes this node's own entry once and watches the entries of the others. An
+ * entry holds nothing that a restart of the node changes, so a restarted node has nothing to write and is found while
+ * the store is down. Not thread safe.
  */
 class RegistrySync
 {
@@ -26,11 +26,11 @@
     RegistrySync &operator=(const RegistrySync &) = delete;
 
     void start();
-    /** Called after each change; register before start(). */
+    /** Sets the hook that is called after each change. Register before start(). */
     void onChange(std::function<void()> hook);
-    /** Removes the own entry: this node does not come back. @pre called from a fiber. */
+    /** Removes the own entry, for a node that does not come back. @pre called from a fiber. */
     void removeOwnEntry();
-    /** Takes another node's list if it is newer and the store does not answer here. */
+    /** Applies another node's list if it is newer and this node gets no answer from the store. */
     void applyPeerList(const std::vector<RegistryEntry> &entries, std::uint64_t revision);
     const NodeRegistry &registry() const;
     bool isStoreReachable() const;
