--- a/src/sidecar/StoreWatch.cpp
+++ b/src/sidecar/StoreWatch.cpp
@@ -8,10 +8,10 @@
 namespace waxwing {
 
 namespace {
-/** How often it is looked whether the store must be asked beside the watch. */
+/** How often to check whether a poll of the store is due. */
 constexpr Millis pollCheckInterval{250};
-/** How soon a follower begins to watch once it has to. */
-constexpr Millis roleCheck{200};
+/** How soon a follower starts to watch when its role changes. */
+constexpr Millis roleCheckInterval{200};
 } // namespace
 
 StoreWatch::StoreWatch(NodeCore &core, std::string kind, StoreWatchTuning tuning, ChangesHook onChanges)
@@ -21,10 +21,10 @@
     , onChanges_(std::move(onChanges))
 { }
 
-Millis StoreWatch::randomBetween(Millis least, Millis most)
+Millis StoreWatch::randomBetween(Millis lower, Millis upper)
 {
-    const auto range = static_cast<std::uint64_t>(std::max<std::int64_t>(1, (most - least).count()));
-    return least + Millis(static_cast<std::int64_t>(core_.random() % range));
+    const auto range = static_cast<std::uint64_t>(std::max<std::int64_t>(1, (upper - lower).count()));
+    return lower + Millis(static_cast<std::int64_t>(core_.random() % range));
 }
 
 void StoreWatch::run()
@@ -34,23 +34,23 @@
     }
     Millis backoff = tuning_.initialBackoff;
     while (!core_.stopping) {
-        const WatchRole part = role();
-        const bool begins = part == WatchRole::StandIn && !isStandIn_;
-        isFollower_ = part == WatchRole::Follower;
-        isStandIn_ = part == WatchRole::StandIn;
+        const WatchRole currentRole = role();
+        const bool firstInRole = currentRole == WatchRole::StandIn && !isStandIn_;
+        isFollower_ = currentRole == WatchRole::Follower;
+        isStandIn_ = currentRole == WatchRole::StandIn;
         if (isFollower_) {
-            sleepFor(core_.ioContext, roleCheck);
+            sleepFor(core_.ioContext, roleCheckInterval);
             continue;
         }
-        const WatchCall call = nextCall(part, begins);
+        const WatchCall call = nextCall(currentRole, firstInRole);
         isWaiting_ = call.cancel != nullptr;
         const CallResult result = callStore(call);
         isWaiting_ = false;
         if (!result.answered) {
-            // Jitter: after an outage not every node comes back at the same moment.
-            backoff = begins ? tuning_.initialStandInBackoff : backoff;
+            // Jitter: nodes must not all call the store at the same moment after an outage.
+            backoff = firstInRole ? tuning_.initialStandInBackoff : backoff;
             sleepFor(core_.ioContext, randomBetween(backoff / 2, backoff));
-            backoff = nextBackoff(part, backoff);
+            backoff = nextBackoff(currentRole, backoff);
             continue;
         }
         backoff = tuning_.initialBackoff;
@@ -65,30 +65,30 @@
 
 WatchRole StoreWatch::role() const
 {
-    // Others can confirm only what this node has.
+    // Others can confirm only a version that this node holds.
     const bool mayFollow = tuning_.role && revision_ > 0;
     return mayFollow ? tuning_.role() : WatchRole::Watcher;
 }
 
-Millis StoreWatch::nextBackoff(WatchRole role, Millis last) const
+Millis StoreWatch::nextBackoff(WatchRole role, Millis previous) const
 {
-    const bool standsIn = role == WatchRole::StandIn;
-    return std::min(standsIn ? tuning_.maxStandInBackoff : tuning_.maxBackoff, last * 2);
+    const bool isStandIn = role == WatchRole::StandIn;
+    return std::min(isStandIn ? tuning_.maxStandInBackoff : tuning_.maxBackoff, previous * 2);
 }
 
-WatchCall StoreWatch::nextCall(WatchRole role, bool begins)
+WatchCall StoreWatch::nextCall(WatchRole role, bool firstInRole)
 {
     WatchCall call;
     call.since = revision_;
-    // A stand-in often begins since the store is away: its first call shows that soon.
-    if (healthy_ && revision_ > 0 && !begins) {
-        const bool standsIn = role == WatchRole::StandIn;
-        call.wait = standsIn ? randomBetween(tuning_.minStandInWait, tuning_.maxStandInWait)
-                             : randomBetween(tuning_.minWait, tuning_.maxWait);
-        call.responseTimeout = standsIn ? tuning_.pollTimeout : call.responseTimeout;
+    // A node often becomes a stand-in because the store is down; a short first call shows that soon.
+    if (healthy_ && revision_ > 0 && !firstInRole) {
+        const bool isStandIn = role == WatchRole::StandIn;
+        call.wait = isStandIn ? randomBetween(tuning_.minStandInWait, tuning_.maxStandInWait)
+                              : randomBetween(tuning_.minWait, tuning_.maxWait);
+        call.responseTimeout = isStandIn ? tuning_.pollTimeout : call.responseTimeout;
         call.cancel = &watchCancel_;
     } else {
-        // Nothing shows that the store hears this node, and a store that does not would be waited for in vain.
+        // Nothing shows that this node's calls reach the store, so a long wait could end without a response.
         call.responseTimeout = revision_ > 0 ? tuning_.pollTimeout : call.responseTimeout;
         call.newConnection = true;
     }
@@ -114,9 +114,9 @@
 
 bool StoreWatch::isPollDue(Duration jitter) const
 {
-    // A stand-in's own calls come as often as looks would.
-    const bool old = !isStandIn_ && freshness_.isOlderThan(*tuning_.pollAfter + jitter, core_.clock.now());
-    return (isWaiting_ || isFollower_) && (pollRequested_ || old);
+    // A stand-in's own calls are as frequent as polls would be.
+    const bool stale = !isStandIn_ && freshness_.isOlderThan(*tuning_.pollAfter + jitter, core_.clock.now());
+    return (isWaiting_ || isFollower_) && (pollRequested_ || stale);
 }
 
 void StoreWatch::poll()
@@ -134,23 +134,23 @@
 
 StoreWatch::CallResult StoreWatch::callStore(const WatchCall &call)
 {
-    const SteadyTime asked = core_.clock.now();
+    const SteadyTime calledAt = core_.clock.now();
     const Expected<ObjectChanges> changes = core_.service<ObjectApi>("platform").watch(kind_, call, tuning_.mode);
-    logCall(call, core_.clock.now() - asked, changes);
-    const bool ended = !changes && call.cancel != nullptr && watchCancelled_;
+    logCall(call, core_.clock.now() - calledAt, changes);
+    const bool cancelled = !changes && call.cancel != nullptr && watchCancelled_;
     watchCancelled_ = watchCancelled_ && call.cancel == nullptr;
-    if (ended) {
+    if (cancelled) {
         return CallResult{true, false};
     }
     if (!changes) {
-        handleFailure(asked, changes.error().message);
+        handleFailure(calledAt, changes.error().message);
         return CallResult{false, false};
     }
-    handleResponse(call, asked, *changes);
+    handleResponse(call, calledAt, *changes);
     return CallResult{true, !changes->objects.empty()};
 }
 
-void StoreWatch::handleResponse(const WatchCall &call, SteadyTime asked, const ObjectChanges &changes)
+void StoreWatch::handleResponse(const WatchCall &call, SteadyTime calledAt, const ObjectChanges &changes)
 {
     if (!healthy_) {
         core_.events.write(Severity::Info, "store_answers",
@@ -159,20 +159,20 @@
     healthy_ = true;
     hasCalled_ = true;
     revision_ = changes.complete ? changes.revision : std::max(revision_, changes.revision);
-    // A long wait ends at a change, or at the end of its time, and may end sooner; its answer may be read later.
+    // A long wait ends at a change or at its time limit, and may end earlier; its response may be read later.
     const bool waited = call.since > 0 && call.wait > WatchCall::minWait;
-    freshness_.confirm(waited ? std::min(core_.clock.now(), asked + call.wait) : asked);
+    freshness_.confirm(waited ? std::min(core_.clock.now(), calledAt + call.wait) : calledAt);
     onChanges_(changes);
 }
 
-void StoreWatch::handleFailure(SteadyTime asked, const std::string &reason)
+void StoreWatch::handleFailure(SteadyTime calledAt, const std::string &reason)
 {
     if (healthy_ || !hasCalled_) {
         core_.events.write(Severity::Warning, "store_lost", {{"kind", kind_}, {"reason", reason}});
     }
     healthy_ = false;
     hasCalled_ = true;
-    freshness_.noteFailure(asked, core_.clock.now());
+    freshness_.noteFailure(calledAt, core_.clock.now());
 }
 
 void StoreWatch::logCall(const WatchCall &call, Duration took, const Expected<ObjectChanges> &result)
--- a/src/sidecar/StoreWatch.h
+++ b/src/sidecar/StoreWatch.h
@@ -14,28 +14,28 @@
 
 struct NodeCore;
 
-/** How a watch behaves towards the store, whose calls are counted and paid. */
+/** How a watch calls the store, whose calls are counted and paid for. */
 struct StoreWatchTuning {
     ReadMode mode = ReadMode::Current;
-    /** After changes came, the next call waits this long, so that a burst of changes costs one call and not many. */
+    /** Delay of the next call after changes, so that a burst of changes costs one call. */
     Millis batchDelay{0};
     /**
-     * A waiting call ends after a random time in this range. Every end shows that the store is heard. They begin early
-     * since a change ends the calls of all nodes at the same moment.
+     * A waiting call ends after a random time in this range. Each end shows that the connection to the store works. The
+     * range starts low because a change ends the calls of all nodes at the same moment.
      */
     Millis minWait = std::chrono::seconds(1);
     Millis maxWait = std::chrono::seconds(25);
-    /** What is held may be this old, and a random part of the spread, before the store is asked beside the watch. */
+    /** Age of the state, plus a random part of the jitter, at which the store is polled beside the watch. */
     std::optional<Millis> pollAfter;
     Millis pollJitter{1000};
-    /** A call that only asks whether there is something new must be answered within this. */
+    /** Timeout of a call that only checks for changes. */
     Millis pollTimeout{1000};
     Millis initialBackoff{150};
-    /** Also how long after the end of an outage the store is asked again at the latest. */
+    /** Also the longest time from the end of an outage to the next call. */
     Millis maxBackoff{1500};
-    /** Asked before each call. A follower makes none; without this hook the node always watches. */
+    /** Called before each call to the store. A follower makes none. Without this hook the node always watches. */
     std::function<WatchRole()> role;
-    /** The waits and the backoff of a stand-in: in an outage all nodes of a region are stand-ins. */
+    /** Waits and backoff of a stand-in: in an outage all nodes of a region are stand-ins. */
     Millis minStandInWait{1500};
     Millis maxStandInWait{2500};
     Millis initialStandInBackoff{1000};
@@ -43,10 +43,10 @@
 };
 
 /**
- * Follows all objects of one kind: a full list, then changes, with pauses that grow while the store does not answer.
- * A call waits long for a change only if the one before it was answered. A watch that waits can be one that nobody
- * hears any more; so when nothing has shown for a while that what is held is the newest, the store is asked on another
- * connection. A node that follows other watchers makes no calls that wait, only such looks. Not thread safe.
+ * Follows all objects of one kind: a full list, then changes, with backoff while the store does not answer. A call
+ * waits long for a change only if the one before it was answered. A waiting call can be on a dead connection, so when
+ * nothing has confirmed the state for a while, the store is polled on another connection. A follower makes no waiting
+ * calls, only such polls. Not thread safe.
  */
 class StoreWatch
 {
@@ -58,10 +58,10 @@
     void run();
     /** True while the store answers. */
     bool isHealthy() const;
-    /** What is known of the age of what is held; other nodes that hold the same may confirm it. */
+    /** Age of the state that this node holds. Other nodes that hold the same version may confirm it. */
     Freshness &freshness();
     const Freshness &freshness() const;
-    /** Asks the store beside the watch as soon as can be: something newer is known to exist. */
+    /** Polls the store beside the watch as soon as possible, because newer state is known to exist. */
     void requestPoll();
 
 private:
@@ -71,18 +71,18 @@
     };
 
     WatchRole role() const;
-    /** @p begins: the first call in this role. */
-    WatchCall nextCall(WatchRole role, bool begins);
-    Millis nextBackoff(WatchRole role, Millis last) const;
+    /** Returns the parameters of the next call. @p firstInRole: the first call in this role. */
+    WatchCall nextCall(WatchRole role, bool firstInRole);
+    Millis nextBackoff(WatchRole role, Millis previous) const;
     void pollLoop();
     bool isPollDue(Duration jitter) const;
-    /** Asks the store once, on another connection than the watch's. */
+    /** Calls the store once, on another connection than the watch's. */
     void poll();
     CallResult callStore(const WatchCall &call);
-    void handleResponse(const WatchCall &call, SteadyTime asked, const ObjectChanges &changes);
-    void handleFailure(SteadyTime asked, const std::string &reason);
-    Millis randomBetween(Millis least, Millis most);
-    /** One line an attempt: a call that is refused, one that fails and one that is never answered look different. */
+    void handleResponse(const WatchCall &call, SteadyTime calledAt, const ObjectChanges &changes);
+    void handleFailure(SteadyTime calledAt, const std::string &reason);
+    Millis randomBetween(Millis lower, Millis upper);
+    /** Writes one line per call, so that refused, failed and unanswered calls can be told apart. */
     void logCall(const WatchCall &call, Duration took, const Expected<ObjectChanges> &result);
 
     NodeCore &core_;
@@ -92,13 +92,13 @@
     Freshness freshness_;
     std::uint64_t revision_ = 0;
     bool healthy_ = false;
-    /** Something was tried: the first failure is a loss as well. */
+    /** A call has ended. The first failure counts as the loss of the store as well. */
     bool hasCalled_ = false;
-    /** The watch waits for a change; only then, and while others watch for this node, are looks needed. */
+    /** The watch waits for a change. Polls are needed only then and while this node is a follower. */
     bool isWaiting_ = false;
     bool isFollower_ = false;
     bool isStandIn_ = false;
-    /** Ends the waiting call when a look has shown that it hears nothing. */
+    /** Cancels the waiting call when a poll finds changes that the call did not report. */
     ExchangeCancel watchCancel_;
     bool watchCancelled_ = false;
     FiberNotifier pollWakeup_;
