--- a/src/sidecar/PathMonitor.cpp
+++ b/src/sidecar/PathMonitor.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-/** A path in doubt is probed with a fresh link: soon, since most cuts last some seconds, then less and less often. */
+/** A failed path is probed with a new link: soon, since most cuts last a few seconds, then less and less often. */
 constexpr Millis initialProbeInterval{500};
 constexpr Millis maxProbeInterval{4000};
 constexpr Millis probeTimeout{500};
 /**
- * What an answer may take on any path: a round trip, some 3 ms within a region and 60 ms between regions; the rest is
- * for nodes whose share of a core is used up for a tenth of a second.
+ * What a response may take on any path: a round trip, about 3 ms within a region and 60 ms between regions, and time
+ * for a node whose share of a core is used up for a tenth of a second.
  */
 constexpr Millis minTimeoutSameRegion{150};
 constexpr Millis minTimeoutOtherRegion{260};
-/** One node that wrongly suspects others must not make everybody try them all the time. */
+/** Keeps a node that wrongly suspects others from making all nodes check them continuously. */
 constexpr Millis suspicionCheckInterval{2000};
-/** Nodes told at once: in a region of hundreds the news goes on from those that find it true. */
+/** Nodes notified directly. In a region of hundreds, those that confirm the failure notify others. */
 constexpr std::size_t maxNotifiedNodes = 64;
 
 } // namespace
@@ -43,9 +43,9 @@
 
 Duration PathMonitor::answerTimeout(const RegistryEntry &home) const
 {
-    const Duration least = home.region == core_.settings.region ? minTimeoutSameRegion : minTimeoutOtherRegion;
+    const Duration minTimeout = home.region == core_.settings.region ? minTimeoutSameRegion : minTimeoutOtherRegion;
     const auto found = estimators_.find(home.id);
-    return found == estimators_.end() ? least : found->second.timeout(least);
+    return found == estimators_.end() ? minTimeout : found->second.timeout(minTimeout);
 }
 
 void PathMonitor::noteFailure(const std::string &node)
@@ -57,14 +57,14 @@
     core_.metrics.count("paths_failed");
     spawnFiber([this, node] {
         const RegistryEntryPtr found = core_.service<RegistrySync>("registry").registry().find(node);
-        // A receipt that is late on a busy path looks like a cut. Told to the region, each such mistake made all its
-        // nodes try their paths, which made them busier still.
+        // A late ack on a busy path looks like a cut. When each such error was sent to the region, all its nodes
+        // checked their paths, which made them busier still.
         if (found != nullptr && answersOnLink(*found)) {
             notePathRecovered(node, true);
         } else {
             core_.events.write(Severity::Warning, "path_failed", {{"home", node}});
             notifyRegion(node);
-            probeUntilGood(node);
+            probeUntilRecovered(node);
         }
         probing_.erase(node);
     });
@@ -83,12 +83,12 @@
 void PathMonitor::notifyRegion(const std::string &node)
 {
     PeerHub &peers = core_.service<PeerHub>("peers");
-    std::size_t told = 0;
+    std::size_t notified = 0;
     for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
-        const bool near = entry->region == core_.settings.region && entry->id != core_.self.id && entry->id != node;
-        const std::optional<LinkId> link = near ? peers.openLinkAt(entry->links) : std::nullopt;
-        if (link && told < maxNotifiedNodes && peers.reply(*link, PathSuspicion{node})) {
-            ++told;
+        const bool inRegion = entry->region == core_.settings.region && entry->id != core_.self.id && entry->id != node;
+        const std::optional<LinkId> link = inRegion ? peers.openLinkAt(entry->links) : std::nullopt;
+        if (link && notified < maxNotifiedNodes && peers.reply(*link, PathSuspicion{node})) {
+            ++notified;
         }
     }
 }
@@ -97,9 +97,9 @@
 {
     const std::string node = suspicion.node;
     const SteadyTime now = core_.clock.now();
-    const auto tried = lastCheckedAt_.find(node);
-    const bool justTried = tried != lastCheckedAt_.end() && now - tried->second < suspicionCheckInterval;
-    if (node == core_.self.id || probing_.count(node) != 0 || justTried) {
+    const auto lastCheck = lastCheckedAt_.find(node);
+    const bool recentlyChecked = lastCheck != lastCheckedAt_.end() && now - lastCheck->second < suspicionCheckInterval;
+    if (node == core_.self.id || probing_.count(node) != 0 || recentlyChecked) {
         return;
     }
     const RegistryEntryPtr found = core_.service<RegistrySync>("registry").registry().find(node);
@@ -123,10 +123,10 @@
     if (!peer || peer->id != entry.id) {
         return false;
     }
-    const SteadyTime asked = core_.clock.now();
+    const SteadyTime sentAt = core_.clock.now();
     const bool answers = peers.ping(*peer, entry.links, answerTimeout(entry)).has_value();
     if (answers) {
-        noteRoundTrip(entry.id, core_.clock.now() - asked);
+        noteRoundTrip(entry.id, core_.clock.now() - sentAt);
     }
     return answers;
 }
@@ -139,15 +139,15 @@
     return peer && peer->id == entry.id;
 }
 
-void PathMonitor::probeUntilGood(const std::string &node)
+void PathMonitor::probeUntilRecovered(const std::string &node)
 {
     Millis pause = initialProbeInterval;
     while (!core_.stopping) {
         sleepFor(core_.ioContext, pause);
         const RegistryEntryPtr entry = core_.service<RegistrySync>("registry").registry().find(node);
         if (entry == nullptr) {
-            // Nobody is there to be judged. A node that comes back under this name starts without the verdict, or it
-            // would be last for good with no probe to say otherwise.
+            // The node has left. One that returns under this name starts without the failed state; otherwise it would
+            // stay ranked last, with no probe to clear that state.
             hooks_.onPathRecovered(node);
             lastCheckedAt_.erase(node);
             estimators_.erase(node);
--- a/src/sidecar/PathMonitor.h
+++ b/src/sidecar/PathMonitor.h
@@ -14,10 +14,10 @@
 struct NodeCore;
 
 /**
- * Watches over the paths to other nodes. A path that failed is tried at once, and if it does not answer probed with
- * fresh links until it is good again. Nodes of the region tell each other which node fell silent: without that each of
- * a hundred senders finds out for itself, at the cost of one request each, that a VM was lost. Being told is no proof,
- * since cuts hit pairs: the receiver first tries its own link. Not thread safe.
+ * Monitors the paths to other nodes. A failed path is checked at once. If it does not answer, it is probed with new
+ * links until it recovers. Nodes of a region notify each other of silent nodes; otherwise each of a hundred senders
+ * would detect the loss of a VM by itself, at the cost of one request each. A notification is no proof, since cuts
+ * affect pairs of nodes: the receiver first checks its own link. Not thread safe.
  */
 class PathMonitor
 {
@@ -32,20 +32,20 @@
     /** @pre called once, before the first failure. */
     void setHooks(Hooks hooks);
 
-    /** An answer came from @p node after @p sample. */
+    /** Records the round trip time of a response from @p node. */
     void noteRoundTrip(const std::string &node, Duration sample);
-    /** How long an answer that needs no work may take on the path to @p home. */
+    /** Returns how long a response that needs no work may take on the path to @p home. */
     Duration answerTimeout(const RegistryEntry &home) const;
-    /** A request got no receipt from @p node in time, or no link to it opens. */
+    /** Records that no ack came from @p node in time, or that no link to it opens. */
     void noteFailure(const std::string &node);
-    /** Another node says that @p node is silent. Ignored for nodes that the roster does not name. */
+    /** Handles a notification that a node is silent. Ignores nodes that are not in the registry. */
     void handle(const PathSuspicion &suspicion);
 
 private:
     void notifyRegion(const std::string &node);
-    /** Until the path is good again. @pre called from a fiber. */
-    void probeUntilGood(const std::string &node);
-    /** True if the node answers on the link that is there. @pre called from a fiber. */
+    /** Probes until the path recovers. @pre called from a fiber. */
+    void probeUntilRecovered(const std::string &node);
+    /** True if the node answers on the open link. @pre called from a fiber. */
     bool answersOnLink(const RegistryEntry &entry);
     bool answersOnNewLink(const RegistryEntry &entry);
     void notePathRecovered(const std::string &node, bool falseAlarm);
@@ -54,7 +54,7 @@
     Hooks hooks_;
     std::map<std::string, RttEstimator> estimators_;
     std::set<std::string> probing_;
-    /** When a suspected node was tried last. */
+    /** Time of the last check of a suspected node. */
     std::map<std::string, SteadyTime> lastCheckedAt_;
 };
 
