--- a/src/sidecar/RegionWatch.cpp
+++ b/src/sidecar/RegionWatch.cpp
@@ -8,7 +8,7 @@
 namespace waxwing {
 
 namespace {
-/** How soon a watcher whose link has closed, or one that joined, shows in the choice. */
+/** How soon the election takes account of a watcher that joins or whose link closes. */
 constexpr Millis refreshInterval{400};
 } // namespace
 
@@ -28,8 +28,8 @@
     const NodeRegistry &registry = core_.service<RegistrySync>("registry").registry();
     std::vector<std::string> reachable;
     for (const RegistryEntryPtr &entry : registry.all()) {
-        const bool near = entry->region == core_.settings.region && entry->id != core_.self.id;
-        if (near && peers.openLinkAt(entry->links)) {
+        const bool inRegion = entry->region == core_.settings.region && entry->id != core_.self.id;
+        if (inRegion && peers.openLinkAt(entry->links)) {
             reachable.push_back(entry->id);
         }
     }
@@ -57,9 +57,9 @@
     return role_;
 }
 
-void RegionWatch::noteStoreReachable(const std::string &node, bool answers)
+void RegionWatch::noteStoreReachable(const std::string &node, bool reachable)
 {
-    election_.noteStoreReachable(node, answers, core_.clock.now());
+    election_.noteStoreReachable(node, reachable, core_.clock.now());
 }
 
 WatchRole RegionWatch::role() const
@@ -81,8 +81,8 @@
     PeerHub &peers = core_.service<PeerHub>("peers");
     std::vector<LinkId> links;
     for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
-        const bool near = entry->region == core_.settings.region && entry->id != core_.self.id;
-        const std::optional<LinkId> link = near ? peers.openLinkAt(entry->links) : std::nullopt;
+        const bool inRegion = entry->region == core_.settings.region && entry->id != core_.self.id;
+        const std::optional<LinkId> link = inRegion ? peers.openLinkAt(entry->links) : std::nullopt;
         if (link) {
             links.push_back(*link);
         }
--- a/src/sidecar/RegionWatch.h
+++ b/src/sidecar/RegionWatch.h
@@ -11,21 +11,23 @@
 
 struct NodeCore;
 
-/** This node's part in following the configuration: whether it watches the store, and who does so for it. Not thread
- * safe. */
+/**
+ * Role of this node in following the configuration: whether it watches the store, and which nodes watch for it. Not
+ * thread safe.
+ */
 class RegionWatch
 {
 public:
     RegionWatch(NodeCore &core, WatchElectionTuning tuning);
-    /** Decides anew; @p age is that of the configuration held. @pre "peers" and "registry" are in the kernel. */
+    /** Updates the role. @p age: that of the configuration held. @pre "peers" and "registry" are in the kernel. */
     WatchRole updateRole(std::optional<Duration> age);
-    /** @p node says whether the store @p answers it. */
-    void noteStoreReachable(const std::string &node, bool answers);
-    /** As decided last. */
+    /** Records whether the store is @p reachable for @p node. */
+    void noteStoreReachable(const std::string &node, bool reachable);
+    /** The role of the last update. */
     WatchRole role() const;
-    /** An open link to a watcher of this region on another node; one of them at random. */
+    /** Returns an open link to a watcher of this region on another node, picked at random. */
     std::optional<LinkId> linkToWatcher();
-    /** Open links to all other nodes of this region. */
+    /** Returns the open links to all other nodes of this region. */
     std::vector<LinkId> regionLinks() const;
 
 private:
@@ -35,7 +37,7 @@
     WatchElection election_;
     WatchRole role_ = WatchRole::Watcher;
     SteadyTime refreshedAt_;
-    /** Of the watchers on other nodes. */
+    /** Link endpoints of the watchers on other nodes. */
     std::vector<Endpoint> watcherEndpoints_;
 };
 
