--- a/src/sidecar/ConfigSync.cpp
+++ b/src/sidecar/ConfigSync.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 /**
- * An acknowledged change is due everywhere within some 2.5 s. This is for watches that have gone silent, which a node
- * has 4 s to notice; other nodes' confirmations mostly come before it.
+ * An acknowledged change is due everywhere within about 2.5 s. Polls are for watches that have gone silent, which a
+ * node has 4 s to detect; confirmations by other nodes usually come first.
  */
 constexpr Millis pollAge{2200};
-/** Each end of a watcher's wait confirms the version for its whole region, which relies on nothing else. */
+/** Each end of a watcher's wait confirms the version for its whole region, which has no other confirmation. */
 constexpr Millis minConfigWait{500};
 constexpr Millis maxConfigWait{1000};
 
@@ -59,14 +59,14 @@
 
 void ConfigSync::applyDocument(const std::string &document, const std::string &source)
 {
-    // Decoding a large document takes a slow VM a second, and lists bring the one in force again.
+    // Decoding a large document takes a second on a slow VM, and lists repeat the one in force.
     if (current_ && document == current_->source) {
         return;
     }
     Findings findings;
     FleetConfig decoded = platform::decodeConfig(document, findings);
     if (!findings.empty()) {
-        // The version in force stays; the operator sees what is wrong with this one.
+        // The version in force stays; the event shows the operator what is wrong with this one.
         core_.events.write(Severity::Error, "config_refused", {{"source", source}, {"findings", findings.text()}});
         core_.metrics.count("config_refused");
         return;
--- a/src/sidecar/ConfigSync.h
+++ b/src/sidecar/ConfigSync.h
@@ -15,8 +15,8 @@
 class StoreWatch;
 
 /**
- * Keeps the newest configuration: watches the store, or follows nodes that do, and takes what other nodes learned. A
- * version is never replaced by a lower one, whichever way it comes. Not thread safe.
+ * Keeps the newest configuration: watches the store or follows nodes that do, and applies what other nodes send. A
+ * version is never replaced by a lower one, whatever its source. Not thread safe.
  */
 class ConfigSync
 {
@@ -30,16 +30,16 @@
     ConfigSync &operator=(const ConfigSync &) = delete;
     /** Starts the watch. */
     void start();
-    /** Called after each change; register before start(). */
+    /** Adds a hook that is called after each change. Register before start(). */
     void onChange(ChangeHook hook);
-    /** Takes the document if its version is higher. @p source says in the log where it came from. */
+    /** Applies the document if its version is higher. @p source: where it came from, for the log. */
     void applyDocument(const std::string &document, const std::string &source);
-    /** Null as long as none is known. */
+    /** Null while no version is known. */
     std::shared_ptr<const FleetConfig> current() const;
     std::uint64_t version() const;
-    /** What is known of the age of the version in force; other nodes that hold the same may confirm it. */
+    /** Age of the version in force. Other nodes that hold the same version may confirm it. */
     Freshness &freshness();
-    /** A newer version is known to exist: asks the store at once instead of waiting to be told. */
+    /** Polls the store at once instead of waiting for the watch, because a newer version is known to exist. */
     void requestPoll();
     /** True while the store answers. */
     bool isStoreReachable() const;
