--- a/src/sidecar/SidecarNode.cpp
+++ b/src/sidecar/SidecarNode.cpp
@@ -30,24 +30,24 @@
 namespace {
 
 constexpr Millis stopPollInterval{20};
-/** The platform asks each second and takes a node out after two misses; then no caller comes any more. */
+/** The platform checks readiness each second and removes a node after two failures; then no more callers come. */
 constexpr Millis callerDrainDelay{2300};
-/** Other nodes are turned away this long after the stop began: their work has other homes. */
+/** Other nodes are refused this long after the stop began: their work has other homes. */
 constexpr Millis homeDrainDelay{1000};
-/** Kept from the time until the process is killed. */
+/** Kept free before the process is killed. */
 constexpr Millis stopMargin{400};
-/** Time for the last answers to leave the sockets. */
+/** Time for the last responses to leave the sockets. */
 constexpr Millis leaveGrace{50};
 /**
- * Work that was under way for so long is refused. Its sender asked for its fate within about a second and may have been
- * told that it never runs; what it was told is remembered here for several times as long as this.
+ * Work delayed in transit by this much is refused. Its sender queried the outcome within about a second and may have
+ * received the reply that the work never runs. This node remembers such replies for several times as long.
  */
 constexpr Millis maxWorkDelay{1500};
-/** Events kept in memory; the log has them all, and memory is paid for. */
+/** Events kept in memory. The log has them all, and memory is paid for. */
 constexpr std::size_t maxKeptEvents = 128;
 /** Links to the region's nodes are opened before the first request needs them. */
 constexpr Millis warmTimeout{1500};
-/** A killed process is back within a second or so; a VM that is gone costs a connection attempt now and then. */
+/** A killed process is back within about a second; a lost VM costs an occasional connection attempt. */
 constexpr Millis initialReconnectDelay{500};
 constexpr Millis maxReconnectDelay{8000};
 
@@ -73,13 +73,13 @@
 
 WatchElectionTuning watchElectionTuning(const NodeSettings &settings)
 {
-    // What is left of the time that a change has is for reading it.
+    // The rest of the time within which a change is due is for reading it.
     constexpr double standInFraction = 0.6;
     WatchElectionTuning tuning;
     if (!settings.bounds.empty()) {
         Findings findings;
-        const Millis applies = platform::decodeBounds(settings.bounds, findings).configApply;
-        tuning.standInAfter = std::chrono::duration_cast<Millis>(applies * standInFraction);
+        const Millis applyTime = platform::decodeBounds(settings.bounds, findings).configApply;
+        tuning.standInAfter = std::chrono::duration_cast<Millis>(applyTime * standInFraction);
     }
     return tuning;
 }
@@ -115,13 +115,13 @@
     HttpReply handleControl(const HttpRequest &request);
     void handleMessage(LinkId link, const NodeRef &from, Message message);
     void handleWork(LinkId link, const NodeRef &from, Work work);
-    /** Remembers where the sender of a Work that is under way was heard last: its answer goes there. */
+    /** Stores the link on which the sender of a Work in progress last sent a fence: the reply goes there. */
     void noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence);
     void applyConfig(const FleetConfig &changed);
     void warmLinks();
-    /** Sends the record to every node of the roster: news that can't wait for a watch. */
+    /** Sends the record to every node of the registry, for updates that can't wait for a watch. */
     void broadcast(const Record &record);
-    /** Opens the link to a node of this region again, with growing pauses, as long as the roster names it. */
+    /** Reopens the link to a node of this region, with backoff, as long as the registry contains the node. */
     void reconnect(const std::string &peer);
 
     NodeCore core;
@@ -142,7 +142,7 @@
     std::unique_ptr<PeerHub> peers;
     std::map<LinkId, LinkDelayEstimator> linkDelays;
     std::map<WorkKey, LinkId> replyLinks;
-    /** Links that this node opened, by the node at the other end. */
+    /** Links that this node opened, with the node at the other end. */
     std::map<LinkId, std::string> outgoingLinks;
     std::set<std::string> reconnecting;
     std::unique_ptr<HttpServer> callerServer;
@@ -218,13 +218,13 @@
     if (!links) {
         return links;
     }
-    const auto open = [&](const Endpoint &endpoint, std::unique_ptr<HttpServer> &slot,
+    const auto open = [&](const Endpoint &endpoint, std::unique_ptr<HttpServer> &target,
                           HttpServer::Handler handler) -> Expected<void> {
         auto server = listenAt(endpoint, std::move(handler));
         if (!server) {
             return tl::unexpected<Error>(server.error());
         }
-        slot = std::move(*server);
+        target = std::move(*server);
         return {};
     };
     Expected<void> ok =
@@ -269,27 +269,27 @@
     } else if (auto *reply = std::get_if<WorkReply>(&message)) {
         updates.noteVersions(link, reply->versions);
         sender.handleReply(std::move(*reply));
-    } else if (const auto *receipt = std::get_if<WorkAck>(&message)) {
-        updates.noteVersions(link, receipt->versions);
-        sender.handleAck(*receipt);
+    } else if (const auto *ack = std::get_if<WorkAck>(&message)) {
+        updates.noteVersions(link, ack->versions);
+        sender.handleAck(*ack);
     } else if (const auto *cancel = std::get_if<Cancel>(&message)) {
         const WorkKey key{from, cancel->id};
         cancel->onlyIfQueued ? home.cancelQueued(key) : home.cancel(key);
     } else if (const auto *fence = std::get_if<Fence>(&message)) {
         noteReplyLink(link, from, *fence);
         fences.handle(link, from, *fence);
-    } else if (const auto *fate = std::get_if<FenceReply>(&message)) {
-        fences.handleReply(*fate);
-    } else if (const auto *loan = std::get_if<BudgetTransferRequest>(&message)) {
-        retryBudgets.handle(link, *loan);
-    } else if (const auto *lent = std::get_if<BudgetTransferReply>(&message)) {
-        retryBudgets.handleReply(*lent);
+    } else if (const auto *fenceReply = std::get_if<FenceReply>(&message)) {
+        fences.handleReply(*fenceReply);
+    } else if (const auto *transferRequest = std::get_if<BudgetTransferRequest>(&message)) {
+        retryBudgets.handle(link, *transferRequest);
+    } else if (const auto *transferReply = std::get_if<BudgetTransferReply>(&message)) {
+        retryBudgets.handleReply(*transferReply);
     } else if (const auto *suspicion = std::get_if<PathSuspicion>(&message)) {
         paths.handle(*suspicion);
     } else if (const auto *request = std::get_if<StateUpdateRequest>(&message)) {
         updates.handleRequest(link, *request);
-    } else if (const auto *told = std::get_if<StateUpdate>(&message)) {
-        updates.handleUpdate(link, from, *told);
+    } else if (const auto *update = std::get_if<StateUpdate>(&message)) {
+        updates.handleUpdate(link, from, *update);
     } else if (const auto *records = std::get_if<RecordsPush>(&message)) {
         for (const Record &record : records->records) {
             poison.applyRecord(record);
@@ -299,14 +299,14 @@
 
 void SidecarNode::Parts::handleWork(LinkId link, const NodeRef &from, Work work)
 {
-    const Millis late = linkDelays[link].excessDelay(peers->helloAge(link).value_or(Duration(0)), work.helloAge);
-    work.remaining -= late;
-    work.untilObjective -= late;
-    if (late >= maxWorkDelay) {
+    const Millis delay = linkDelays[link].excessDelay(peers->helloAge(link).value_or(Duration(0)), work.helloAge);
+    work.remaining -= delay;
+    work.untilObjective -= delay;
+    if (delay >= maxWorkDelay) {
         core.metrics.count("work_arrived_late");
         core.events.write(
             Severity::Warning, "work_arrived_late",
-            {{"request", work.requestId}, {"from", from.text()}, {"lateMs", std::to_string(late.count())}});
+            {{"request", work.requestId}, {"from", from.text()}, {"lateMs", std::to_string(delay.count())}});
         WorkReply refusal;
         refusal.id = work.id;
         refusal.outcome = Outcome::NotRun;
@@ -319,21 +319,21 @@
     spawnFiber([this, link, from, work = std::move(work)] {
         const WorkKey key{from, work.id};
         const auto control = std::make_shared<RunControl>();
-        // A refusal answers at once; only what stays here needs a receipt.
+        // A refusal is sent at once; only a request that is accepted needs an ack.
         WorkReply reply = home.run(key, work, control, [&] {
             peers->reply(link, WorkAck{work.id, updates.versions()});
         });
         reply.versions = updates.versions();
-        const auto asked = replyLinks.find(key);
-        const LinkId way = asked == replyLinks.end() ? link : asked->second;
+        const auto fenced = replyLinks.find(key);
+        const LinkId replyLink = fenced == replyLinks.end() ? link : fenced->second;
         replyLinks.erase(key);
-        peers->reply(way, std::move(reply));
+        peers->reply(replyLink, std::move(reply));
     });
 }
 
 void SidecarNode::Parts::noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence)
 {
-    // The sender asks over a fresh link because nothing came on the one that carried the Work.
+    // The sender queries over a new link because nothing came on the one that carried the Work.
     const WorkKey key{fence.origin, fence.workId};
     if (from == fence.origin && fence.target == core.self && home.isInProgress(key)) {
         replyLinks[key] = link;
@@ -354,8 +354,8 @@
 void SidecarNode::Parts::warmLinks()
 {
     for (const RegistryEntryPtr &entry : registry.registry().all()) {
-        const bool near = entry->region == core.settings.region && entry->id != core.self.id;
-        if (near) {
+        const bool inRegion = entry->region == core.settings.region && entry->id != core.self.id;
+        if (inRegion) {
             spawnFiber([this, links = entry->links] {
                 const Expected<LinkId> opened = peers->linkAt(links, warmTimeout);
                 core.metrics.count(opened ? "links_warmed" : "links_not_warmed");
@@ -385,8 +385,8 @@
     if (lost == nullptr || lost->region != core.settings.region || !reconnecting.insert(peer).second) {
         return;
     }
-    // A node that was restarted while the store is away knows nobody; it learns the configuration and the other nodes
-    // from the first one that opens a link to it.
+    // A node that restarts while the store is down knows no other nodes. It receives the configuration and the registry
+    // from the first node that opens a link to it.
     spawnFiber([this, peer] {
         Millis pause = initialReconnectDelay;
         while (!core.stopping) {
@@ -451,21 +451,21 @@
 bool SidecarNode::stop()
 {
     NodeCore &core = parts_->core;
-    const SteadyTime began = core.clock.now();
-    const SteadyTime until = began + stopGrace(core.settings) - stopMargin;
-    const bool comesBack = !parts_->home.serverLeft();
+    const SteadyTime startedAt = core.clock.now();
+    const SteadyTime deadline = startedAt + stopGrace(core.settings) - stopMargin;
+    const bool willReturn = !parts_->home.serverLeft();
     core.events.write(Severity::Info, "node_stopping",
-                      {{"node", core.self.text()}, {"serverLeft", comesBack ? "no" : "yes"}});
+                      {{"node", core.self.text()}, {"serverLeft", willReturn ? "no" : "yes"}});
     core.draining = true;
-    parts_->forwarder.setStopDeadline(until);
+    parts_->forwarder.setStopDeadline(deadline);
     parts_->callerServer->announceClose();
-    if (!comesBack) {
+    if (!willReturn) {
         parts_->registry.removeOwnEntry();
     }
     const auto busy = [&] { return parts_->callerServer->requestsInFlight() > 0 || parts_->home.busy() > 0; };
     bool listening = true;
-    while (core.clock.now() < until) {
-        const Duration since = core.clock.now() - began;
+    while (core.clock.now() < deadline) {
+        const Duration since = core.clock.now() - startedAt;
         if (since >= homeDrainDelay) {
             parts_->home.stopAccepting();
         }
--- a/src/sidecar/SidecarNode.h
+++ b/src/sidecar/SidecarNode.h
@@ -19,8 +19,8 @@
 {
 public:
     /**
-     * Builds the services and starts to listen. Errors: Unavailable if a port can't be had. @pre the calling thread has
-     * the fiber scheduler of @p ioContext; @p settings name a local server; @p clock outlives the node.
+     * Builds the services and starts to listen. Errors: Unavailable if a port can't be bound. @pre the calling thread
+     * has the fiber scheduler of @p ioContext; @p settings name a local server; @p clock outlives the node.
      */
     static Expected<std::unique_ptr<SidecarNode>> MakeStarted(boost::asio::io_context &ioContext, const Clock &clock,
                                                               const NodeSettings &settings, std::uint64_t incarnation);
@@ -28,13 +28,14 @@
     SidecarNode(const SidecarNode &) = delete;
     SidecarNode &operator=(const SidecarNode &) = delete;
 
-    /** Hands buffered log lines over. */
+    /** Writes out buffered log lines. */
     void flushLog();
-    /** Takes over changed settings; addresses where the node listens stay. */
+    /** Applies changed settings; the listen addresses do not change. */
     void reload(const NodeSettings &settings);
     /**
-     * Graceful stop: tells the platform, serves on until callers have heard of it, finishes what is in flight.
-     * @pre called from a fiber. Returns false if work was still running at the time limit.
+     * Graceful shutdown: fails the platform's readiness check, continues to serve until callers have stopped coming,
+     * and finishes requests in flight. Returns false if work was still running at the time limit. @pre called from a
+     * fiber.
      */
     bool stop();
 
