--- a/tests/unit/FleetTest.cpp
+++ b/tests/unit/FleetTest.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("fleet configuration, several prefixes that fit, takes the longest")
+TEST_CASE("fleet configuration, several matching prefixes, uses the longest")
 {
     FleetConfig config;
     config.addRoute(route("short", "desk.example", "/a/"));
@@ -41,7 +41,7 @@
     CHECK(config.routeCount() == 2);
 }
 
-TEST_CASE("fleet configuration, host in other letters or with a port, is the same host")
+TEST_CASE("fleet configuration, host in another case or with a port, is the same host")
 {
     FleetConfig config;
     config.addRoute(route("one", "Desk.Example", "/a/"));
@@ -49,7 +49,7 @@
     CHECK(config.routeFor("[::1]", "/a/1") == nullptr);
 }
 
-TEST_CASE("part picker, any run of requests, keeps each part within one request of its weight")
+TEST_CASE("weighted round robin, any number of requests, keeps each service within one request of its share")
 {
     Route split = route("split", "h", "/");
     split.services = {WeightedService{"old", 90}, WeightedService{"new", 10}};
@@ -61,7 +61,7 @@
     }
 }
 
-TEST_CASE("roster, entries in any order of arrival, ends with the newest of each")
+TEST_CASE("node registry, entries in any order of arrival, keeps the newest of each")
 {
     NodeRegistry registry;
     CHECK(registry.put(entry("n1", 7, "new")));
@@ -72,7 +72,7 @@
     CHECK(registry.revision() == 8);
 }
 
-TEST_CASE("roster, full list from a replica that is behind, does not bring back what was removed")
+TEST_CASE("node registry, full list from a stale replica, does not restore removed entries")
 {
     NodeRegistry registry;
     REQUIRE(registry.replace({entry("n1", 3), entry("n2", 4)}, 10));
@@ -81,8 +81,9 @@
     CHECK(registry.homesOf("desk").size() == 1);
 }
 
-// Guards against a node that has written its own entry and from then on refuses lists with nodes that it has not seen.
-TEST_CASE("roster, own entry written after the last list, still takes a newer list that is older than the entry")
+// Guards against a node that writes its own entry and then refuses lists with nodes that it has not seen.
+TEST_CASE(
+    "node registry, own entry written after the last list, still accepts a newer list that is older than the entry")
 {
     NodeRegistry registry;
     REQUIRE(registry.replace({entry("n1", 3)}, 10));
@@ -95,26 +96,26 @@
     CHECK(registry.find("self").get() == nullptr);
 }
 
-TEST_CASE("transit meter, work held up by a cut, is told as late when the cut heals")
+TEST_CASE("link delay estimator, work delayed by a cut, reports the delay when the cut heals")
 {
-    // A booking is sent over a link that has just been cut. Its sender hears nothing, learns through a third node that
-    // it has not run, and has it run at another home. Twelve seconds later the cut heals and the link delivers it: run
-    // again, the firm would be billed twice.
-    LinkDelayEstimator meter;
-    CHECK(meter.excessDelay(Millis(1000), Millis(997)) == Millis(0));
-    CHECK(meter.excessDelay(Millis(14000), Millis(2000)) >= Millis(11900));
-    CHECK(meter.excessDelay(Millis(15000), Millis(14997)) == Millis(0));
+    // Guards against a request that runs twice. A booking is written to a link that has just been cut. Its sender gets
+    // no ack, learns through a third node that the booking has not run, and has it run at another home. Twelve seconds
+    // later the cut heals and the link delivers the booking: if it ran again, the company would be billed twice.
+    LinkDelayEstimator estimator;
+    CHECK(estimator.excessDelay(Millis(1000), Millis(997)) == Millis(0));
+    CHECK(estimator.excessDelay(Millis(14000), Millis(2000)) >= Millis(11900));
+    CHECK(estimator.excessDelay(Millis(15000), Millis(14997)) == Millis(0));
 }
 
-TEST_CASE("transit meter, link whose greeting was late itself, does not take that for its own delay")
+TEST_CASE("link delay estimator, link whose Hello was itself delayed, does not count that as base delay")
 {
-    LinkDelayEstimator meter;
-    CHECK(meter.excessDelay(Millis(9000), Millis(1000)) >= Millis(7000));
+    LinkDelayEstimator estimator;
+    CHECK(estimator.excessDelay(Millis(9000), Millis(1000)) >= Millis(7000));
 }
 
-TEST_CASE("transit meter, slow link, counts its usual delay as none")
+TEST_CASE("link delay estimator, slow link, reports no excess at its usual delay")
 {
-    LinkDelayEstimator meter;
-    CHECK(meter.excessDelay(Millis(1062), Millis(1000)) == Millis(0));
-    CHECK(meter.excessDelay(Millis(2092), Millis(2000)) == Millis(30));
+    LinkDelayEstimator estimator;
+    CHECK(estimator.excessDelay(Millis(1062), Millis(1000)) == Millis(0));
+    CHECK(estimator.excessDelay(Millis(2092), Millis(2000)) == Millis(30));
 }
