--- a/tests/unit/FreshnessTest.cpp
+++ b/tests/unit/FreshnessTest.cpp
@@ -22,16 +22,16 @@
 
 } // namespace
 
-// Guards against a started node that takes callers before anything has shown that its version is the newest.
-TEST_CASE_FIXTURE(FreshnessFixture, "freshness, nothing confirmed and nothing tried, supports no callers")
+// Guards against a starting node that accepts callers before its version is confirmed as the newest.
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, nothing confirmed and no request made, does not permit callers")
 {
     CHECK_FALSE(freshness_.mayServeCallers(at(0), false));
     CHECK_FALSE(freshness_.mayServeCallers(at(0), true));
     CHECK_FALSE(freshness_.age(at(0)).has_value());
 }
 
-// Guards against a node that reads an answer long after it was given and takes it for news.
-TEST_CASE_FIXTURE(FreshnessFixture, "freshness, answer read ten seconds after the question, does not start a node")
+// Guards against a node that reads a response long after it was sent and treats it as current.
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, response read ten seconds after its request, does not let a node start")
 {
     freshness_.confirm(at(0));
     CHECK(freshness_.mayServeCallers(at(1500), false));
@@ -40,8 +40,8 @@
     CHECK(freshness_.mayServeCallers(at(10000), false));
 }
 
-// Guards against a fleet that takes itself out of service because its store is away.
-TEST_CASE_FIXTURE(FreshnessFixture, "freshness, store that fails each question, goes on to support callers")
+// Guards against a fleet that takes itself out of service because its store is down.
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, store that fails each request, still permits callers")
 {
     freshness_.confirm(at(0));
     for (int ms = 3000; ms < 60000; ms += 2500) {
@@ -51,8 +51,8 @@
     }
 }
 
-// Guards against a process that stood still and serves with what it knew before, on the word of an old failure.
-TEST_CASE_FIXTURE(FreshnessFixture, "freshness, process that stood still, must ask again first")
+// Guards against a process that resumes after a suspension and serves with old state because of an earlier failure.
+TEST_CASE_FIXTURE(FreshnessFixture, "freshness, process that was suspended, needs a new request first")
 {
     freshness_.confirm(at(0));
     freshness_.noteFailure(at(1000), at(2000));
