--- a/tests/unit/WatchElectionTest.cpp
+++ b/tests/unit/WatchElectionTest.cpp
@@ -15,7 +15,7 @@
     return "node-" + std::to_string(number);
 }
 
-/** A region in which every node has its own view of whom it reaches. */
+/** A region in which every node reaches its own set of nodes. */
 class RegionOfNodes
 {
 protected:
@@ -39,11 +39,11 @@
         }
     }
 
-    std::vector<std::string> allBut(const std::string &left) const
+    std::vector<std::string> allBut(const std::string &excluded) const
     {
         std::vector<std::string> out;
         std::copy_if(nodes_.begin(), nodes_.end(), std::back_inserter(out),
-                     [&](const std::string &node) { return node != left; });
+                     [&](const std::string &node) { return node != excluded; });
         return out;
     }
 
@@ -70,7 +70,7 @@
 
 } // namespace
 
-// Guards against calls on the store that grow with the nodes of a region.
+// Guards against a number of calls to the store that grows with the nodes of a region.
 TEST_CASE_FIXTURE(RegionOfNodes, "watch election, region of any size, has the same number of watchers")
 {
     for (const int count : {2, 3, 30, 300, 3000}) {
@@ -81,8 +81,8 @@
     CHECK(elected().size() == 1);
 }
 
-// Guards against a region without watchers after those that it had are gone.
-TEST_CASE_FIXTURE(RegionOfNodes, "watch election, all watchers lost at once, elects others and leaves the rest")
+// Guards against a region that has no watchers after its watchers are lost.
+TEST_CASE_FIXTURE(RegionOfNodes, "watch election, all watchers lost at once, elects two others")
 {
     start(30);
     const std::set<std::string> before = elected();
@@ -98,7 +98,7 @@
 }
 
 // Guards against a change of watchers at nearly every node that joins or leaves.
-TEST_CASE_FIXTURE(RegionOfNodes, "watch election, node that joins, takes the place of one watcher at most")
+TEST_CASE_FIXTURE(RegionOfNodes, "watch election, node that joins, replaces at most one watcher")
 {
     start(30);
     for (int joining = 30; joining < 60; ++joining) {
@@ -113,8 +113,8 @@
     }
 }
 
-// Guards against a node that neither watches nor reaches a watcher, where nodes reach different parts of the region.
-TEST_CASE_FIXTURE(RegionOfNodes, "watch election, node that reaches a part of the region, watches or reaches a watcher")
+// Guards against a node that neither watches nor reaches a watcher, when nodes reach different parts of the region.
+TEST_CASE_FIXTURE(RegionOfNodes, "watch election, node that reaches part of the region, watches or reaches a watcher")
 {
     start(30);
     for (auto &[node, election] : elections_) {
@@ -134,8 +134,9 @@
     }
 }
 
-// Guards against a follower that goes on with what it holds though its watchers have fallen silent.
-TEST_CASE_FIXTURE(RegionOfNodes, "watch election, follower that nobody confirms, stands in and follows again later")
+// Guards against a follower that keeps its old state although its watchers are silent.
+TEST_CASE_FIXTURE(RegionOfNodes,
+                  "watch election, follower without confirmation, becomes a stand-in and later a follower again")
 {
     WatchElectionTuning tuning;
     WatchElection follower("zz", tuning);
@@ -146,18 +147,18 @@
     }
     CHECK(follower.role(tuning.standInAfter, at(0)) == WatchRole::Follower);
     CHECK(follower.role(tuning.standInAfter + Millis(1), at(100)) == WatchRole::StandIn);
-    const int lasts = static_cast<int>(tuning.standInFor.count());
-    CHECK(follower.role(fresh, at(100 + lasts - 1)) == WatchRole::StandIn);
-    CHECK(follower.role(fresh, at(100 + lasts)) == WatchRole::Follower);
-    CHECK(follower.role(std::nullopt, at(100 + lasts)) == WatchRole::StandIn);
+    const int duration = static_cast<int>(tuning.standInFor.count());
+    CHECK(follower.role(fresh, at(100 + duration - 1)) == WatchRole::StandIn);
+    CHECK(follower.role(fresh, at(100 + duration)) == WatchRole::Follower);
+    CHECK(follower.role(std::nullopt, at(100 + duration)) == WatchRole::StandIn);
 }
 
-// Guards against a region whose watchers are cut off from the store and that all nodes then ask the store for.
+// Guards against a region whose watchers lose the store, so that all its nodes call the store instead.
 TEST_CASE_FIXTURE(RegionOfNodes, "watch election, watchers that the store does not answer, are replaced by two others")
 {
     start(30);
     const std::set<std::string> cutOff = elected();
-    const auto seeAll = [&](SteadyTime now) {
+    const auto watchersAt = [&](SteadyTime now) {
         std::set<std::string> watching;
         for (auto &[node, election] : elections_) {
             election.setReachable(allBut(node), now);
@@ -172,22 +173,22 @@
             election.noteStoreReachable(watcher, false, at(0));
         }
     }
-    CHECK(seeAll(at(100)).size() == watchers);
-    CHECK(seeAll(at(static_cast<int>(WatchElectionTuning().excludedFor.count()))).empty());
+    CHECK(watchersAt(at(100)).size() == watchers);
+    CHECK(watchersAt(at(static_cast<int>(WatchElectionTuning().excludedFor.count()))).empty());
 }
 
-// Guards against a whole region that watches, with a watcher's short pauses, while the store is away for everybody.
-TEST_CASE_FIXTURE(RegionOfNodes, "watch election, store that answers nobody, has no more watchers than before")
+// Guards against a region in which all nodes watch, at a watcher's short intervals, while the store answers no node.
+TEST_CASE_FIXTURE(RegionOfNodes, "watch election, store that answers no node, has no more watchers than before")
 {
     start(30);
-    const Duration old = std::chrono::seconds(3);
+    const Duration age = std::chrono::seconds(3);
     std::size_t watching = 0;
     for (auto &[node, election] : elections_) {
         for (const std::string &other : allBut(node)) {
             election.noteStoreReachable(other, false, at(0));
         }
         election.setReachable(allBut(node), at(100));
-        watching += election.role(old, at(100)) == WatchRole::Watcher ? 1 : 0;
+        watching += election.role(age, at(100)) == WatchRole::Watcher ? 1 : 0;
     }
     CHECK(watching == watchers);
 }
