--- a/tests/unit/DecodersTest.cpp
+++ b/tests/unit/DecodersTest.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr int mutationsEach = 4000;
+constexpr int mutationsPerInput = 4000;
 
-/** Changes, drops, adds or repeats a few bytes. */
+/** Replaces, removes, inserts or repeats a few bytes. */
 std::string mutated(std::string text, std::mt19937_64 &random)
 {
     const auto edits = 1 + random() % 4;
@@ -100,7 +100,7 @@
 
 } // namespace
 
-TEST_CASE("messages, each kind written and read, are the same")
+TEST_CASE("messages, each kind encoded and decoded, are unchanged")
 {
     for (const Message &message : sampleMessages()) {
         const std::string bytes = encodeMessage(message);
@@ -111,22 +111,22 @@
     }
 }
 
-TEST_CASE("decoders, mutated input, refuse it or take it and never fail otherwise")
+TEST_CASE("decoders, mutated input, accept or reject it and never fail otherwise")
 {
-    // Story: a faulty peer, server or operator sends bytes that are nearly right. A node that falls over them takes its
-    // callers' requests with it.
+    // Guards against a node that crashes on malformed bytes from a faulty peer, server or operator and loses the
+    // requests of its callers.
     std::mt19937_64 random(20261203);
     int refused = 0;
     for (const Message &message : sampleMessages()) {
         const std::string bytes = encodeMessage(message);
-        for (int i = 0; i < mutationsEach; ++i) {
+        for (int i = 0; i < mutationsPerInput; ++i) {
             refused += decodeMessage(mutated(bytes, random)) ? 0 : 1;
         }
     }
-    CHECK(refused > mutationsEach);
+    CHECK(refused > mutationsPerInput);
     const std::string announcement =
         announcementJson(Announcement{"s", "a", 1, "127.0.0.1", 80, 3, 400, ServerState::Serving});
-    for (int i = 0; i < mutationsEach; ++i) {
+    for (int i = 0; i < mutationsPerInput; ++i) {
         Findings findings;
         parseAnnouncement(mutated(announcement, random), findings);
         Findings ofSettings;
@@ -137,7 +137,7 @@
     }
 }
 
-TEST_CASE("settings, good with comments, are taken over whole")
+TEST_CASE("settings, valid text with comments, are read completely")
 {
     Findings findings;
     const NodeSettings settings = parseNodeSettings(settingsText, "s.json", findings);
@@ -146,7 +146,7 @@
     CHECK(settings.advertisedPeers.port == 2);
 }
 
-TEST_CASE("settings, many faults, are all found with their places")
+TEST_CASE("settings, many faults, are all reported with their locations")
 {
     const std::string text =
         settingsFindings(R"({"node": "bad name", "zone": 5, "objectApi": "localhost:7000", "color": 1,
@@ -161,7 +161,7 @@
     CHECK(settingsFindings("{\n\"node\": }").text().find("s.json:2:") == 0);
 }
 
-TEST_CASE("intents, routes given twice or a newer schema, are findings")
+TEST_CASE("intents, duplicate routes or a newer schema, are findings")
 {
     CHECK(intentFindings(intentText).empty());
     const std::string twice = intentFindings(R"({"classes": {
@@ -176,7 +176,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("intent, several prefixes match, the longest and the one with methods wins")
+TEST_CASE("intent, several matching prefixes, uses the longest and prefers one with methods")
 {
     Findings findings;
     const ServiceIntent intent = parseServiceIntent("s", nlohmann::json::parse(R"({"classes": {
