--- a/tests/unit/PlatformDialectTest.cpp
+++ b/tests/unit/PlatformDialectTest.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("caller dialect, request, is decoded and what the system sets itself is not taken from the caller")
+TEST_CASE("caller dialect, request, is decoded without the caller's values of headers that the system sets")
 {
     const auto decoded = decodeCallerRequest(callerRequest(), "desk");
     REQUIRE(decoded);
@@ -79,7 +79,7 @@
     CHECK(headerValue(headers, "Connection").empty());
 }
 
-TEST_CASE("caller dialect, no id or a time that is no number, says which header is at fault")
+TEST_CASE("caller dialect, missing id or timeout that is no number, reports the header at fault")
 {
     HttpRequest request = callerRequest();
     request.headers[1].second = "";
@@ -91,7 +91,7 @@
     CHECK(decoded.error().message.find(names::timeoutMs) != std::string::npos);
 }
 
-TEST_CASE("caller dialect, refusal, carries the id and the time to come back as a fraction of seconds")
+TEST_CASE("caller dialect, refusal, carries the id and the retry delay in fractions of seconds")
 {
     const HttpResponse response = errorResponse(503, "a1", "no-room", Millis(350));
     CHECK(headerValue(response.headers, "Retry-After") == "0.350");
@@ -114,7 +114,7 @@
     CHECK(heartbeat.cold == Millis(1500));
 }
 
-TEST_CASE("server dialect, heartbeat of another writer, names no server to use")
+TEST_CASE("server dialect, heartbeat not written by a server, is refused")
 {
     CHECK(isRefused("not json"));
     CHECK(isRefused("[]"));
@@ -128,7 +128,7 @@
     CHECK(isRefused(heartbeatWith("\"service\":\"desk\",", "")));
 }
 
-TEST_CASE("server dialect, farewell with or without its start, names the process that goes")
+TEST_CASE("server dialect, deregistration with or without the start time, names the process that leaves")
 {
     const auto plain = decodeServerCall(serverCall(names::leaveCall, ""));
     REQUIRE((plain && *plain && (*plain)->deregistration));
@@ -139,7 +139,7 @@
     CHECK_FALSE(decodeServerCall(HttpRequest{"GET", "/v1/status", {}, ""}));
 }
 
-TEST_CASE("server dialect, answers, are told apart by what they state and not by their status")
+TEST_CASE("server dialect, responses, are classified by their headers and not by status alone")
 {
     const std::pair<std::string, std::string> seal{names::signature, "s"};
     CHECK(classifyAnswer(answer(200, {seal})) == ServerAnswer::Answer);
@@ -152,14 +152,14 @@
     CHECK(classifyAnswer(answer(200, {seal, {"Content-Encoding", "gzip"}})) == ServerAnswer::Unusable);
 }
 
-TEST_CASE("server dialect, answer that names another request, does not belong to this one")
+TEST_CASE("server dialect, response that names another request, does not match this one")
 {
     CHECK(isResponseTo(answer(200, {{names::requestId, "a1"}}), "a1"));
     CHECK_FALSE(isResponseTo(answer(200, {{names::requestId, "a2"}}), "a1"));
     CHECK(isResponseTo(answer(503, {}), "a1"));
 }
 
-TEST_CASE("configuration decoder, operator's document, becomes routes with their promises")
+TEST_CASE("configuration decoder, operator's document, becomes routes with their settings")
 {
     Findings findings;
     const FleetConfig config = decodeConfig(document, findings);
@@ -180,7 +180,7 @@
     CHECK(book->timeout > std::chrono::hours(1));
 }
 
-TEST_CASE("configuration decoder, faults, are reported together with their places")
+TEST_CASE("configuration decoder, faults, are reported together with their locations")
 {
     Findings findings;
     decodeConfig(R"({"version":"12","listeners":[{"host":"h","rules":[{"kind":"safe","match":{},"action":{}}]}]})",
@@ -191,9 +191,10 @@
     CHECK(text.find("/listeners/0/rules/0/action/service") != std::string::npos);
 }
 
-TEST_CASE("configuration decoder, kinds of requests, say what may be repeated, and an unknown one is never repeated")
+TEST_CASE("configuration decoder, kinds of requests, decide what may be retried and an unknown one is never retried")
 {
-    // Downloads were taken for work that must run once: they got no second send, and each gray server lost some.
+    // Guards against downloads that are treated as work that must run once: they got no retry, and each gray server
+    // lost some.
     const auto ruleOf = [](const std::string &kind) {
         return R"({"kind":")" + kind + R"(","match":{"path_prefix":"/)" + kind
                + R"(/"},"action":{"service":"s","max_attempts":2}})";
@@ -212,7 +213,7 @@
     CHECK(config.warnings.all().front().place == "/listeners/0/rules/3/kind");
 }
 
-TEST_CASE("roster entry, written and read, is the same; another writer's names no home")
+TEST_CASE("registry entry, encoded and decoded, is unchanged and that of another writer names no home")
 {
     const RegistryEntry entry{"n1", Endpoint{"10.1.0.5", 7380}, "z1", "r1", "desk", 0};
     const auto read = decodeRegistryEntry("n1", encodeRegistryEntry(entry), 9);
@@ -224,7 +225,7 @@
     CHECK_FALSE(decodeRegistryEntry("n1", "17", 9));
 }
 
-TEST_CASE("bounds decoder, list of texts or object, gives the same figures")
+TEST_CASE("bounds decoder, list of texts or object, gives the same values")
 {
     Findings findings;
     const FleetBounds texts = decodeBounds(R"(["grace_s=6","retry_budget_ratio=0.2","budget_slack=62"])", findings);
