--- a/tests/integration/ConfigTest.cpp
+++ b/tests/integration/ConfigTest.cpp
@@ -19,10 +19,10 @@
 
 } // namespace
 
-TEST_CASE("configuration, node started with no memory during an outage, takes the newest from its peers")
+TEST_CASE("configuration, node started without state during an outage, gets the newest from its peers")
 {
-    // Story: the store is away and a VM is replaced. Were the new node to wait for the store it would refuse callers
-    // for hours; were it to start with nothing in force the accepted configuration would have gone back.
+    // Guards against a VM that is replaced while the store is down. If the new node waited for the store, it would
+    // refuse callers for hours; if it started with no configuration in force, the accepted configuration would be lost.
     Fleet fleet;
     REQUIRE(fleet.ctl({"apply", fleet.intentsFile("400ms"), "--wait"}) == 0);
     const std::uint64_t accepted = revisionAt(fleet, 0);
@@ -34,7 +34,7 @@
     fleet.setApiFault({{"outage", false}});
 }
 
-TEST_CASE("configuration, two operators race, one wins and the other is told what changed")
+TEST_CASE("configuration, two operators write at once, one succeeds and the other gets the difference")
 {
     Fleet fleet;
     std::string mine;
@@ -50,7 +50,7 @@
     CHECK(output.find("500ms") != std::string::npos);
 }
 
-TEST_CASE("configuration, write took effect but its answer was lost, is found again and not written twice")
+TEST_CASE("configuration, write whose response was lost, is found again and not written twice")
 {
     Fleet fleet;
     const std::uint64_t before = revisionAt(fleet, 0);
@@ -64,7 +64,7 @@
     CHECK(output.find("unchanged") != std::string::npos);
 }
 
-TEST_CASE("configuration, one node frozen, apply --wait names it")
+TEST_CASE("configuration, one node suspended, apply --wait names it")
 {
     Fleet fleet;
     fleet.node(2).signal(SIGSTOP);
@@ -75,7 +75,7 @@
     CHECK(fleet.ctl({"apply", fleet.intentsFile("350ms"), "--wait"}, &output) == 0);
 }
 
-TEST_CASE("intents, weights and addresses and other faults, are all reported with their places")
+TEST_CASE("intents, weights and addresses and other faults, are all reported with their locations")
 {
     Fleet fleet;
     const std::string path = fleet.directory() + "/bad.json";
