--- a/tests/integration/FollowerTest.cpp
+++ b/tests/integration/FollowerTest.cpp
@@ -11,7 +11,7 @@
 
 namespace names = platform::names;
 
-/** A region of which two nodes watch the store; the others follow them. */
+/** A region in which two nodes watch the store and the others follow them. */
 class Followers : public ConfigPropagationRig
 {
 protected:
@@ -35,12 +35,12 @@
     std::string roleOf(int node) const
     {
         const std::string log = mesh_.log(node);
-        const std::string word = " role=";
+        const std::string key = " role=";
         const std::size_t last = log.rfind("event=watch_role");
         if (last == std::string::npos) {
             return "watcher";
         }
-        const std::size_t from = log.find(word, last) + word.size();
+        const std::size_t from = log.find(key, last) + key.size();
         return log.substr(from, log.find(' ', from) - from);
     }
 
@@ -71,11 +71,11 @@
 
 } // namespace
 
-// Guards against calls on the store that grow with the nodes: a quiet region costs its watchers' calls, and a change
-// too.
-TEST_CASE_FIXTURE(Followers, "followers, new version, hold it in time without a call on the store")
+// Guards against calls to the store that grow with the nodes: only the watchers call it, while nothing changes and at a
+// change.
+TEST_CASE_FIXTURE(Followers, "followers, new version, hold it in time without a call to the store")
 {
-    // Stand-ins of the start have become followers by then.
+    // By then the stand-ins of the start have become followers.
     pause(std::chrono::seconds(4));
     const std::vector<int> followers = withRole("follower");
     REQUIRE(followers.size() == 4);
@@ -86,7 +86,7 @@
     CHECK(storeCalls(followers) == before);
 }
 
-// Guards against a region that hears nothing more of the store since all of its watchers ended at once.
+// Guards against a region that receives no more updates because all of its watchers ended at once.
 TEST_CASE_FIXTURE(Followers, "followers, all watchers killed at once, hold the next version in time")
 {
     const std::vector<int> followers = withRole("follower");
@@ -99,8 +99,8 @@
     }
 }
 
-// Guards against watchers that stand still, hold their links open, and keep their region on an old version.
-TEST_CASE_FIXTURE(Followers, "followers, all watchers frozen, hold the next version in time")
+// Guards against suspended watchers that hold their links open and keep their region on an old version.
+TEST_CASE_FIXTURE(Followers, "followers, all watchers suspended, hold the next version in time")
 {
     const std::vector<int> followers = withRole("follower");
     const std::vector<int> watchers = withRole("watcher");
@@ -116,7 +116,7 @@
     }
 }
 
-// Guards against watchers that answer their followers though their own watches on the store went silent.
+// Guards against watchers that answer their followers although their own watches on the store are silent.
 TEST_CASE_FIXTURE(Followers, "followers, watches gone silent, hold the next version in time")
 {
     mesh_.setStoreFault({{"deafWatches", true}});
@@ -124,8 +124,8 @@
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
-// Guards against followers that lose their watchers' watches together with the store, and all wait on a store that
-// never heard them.
+// Guards against followers that lose their watchers' watches together with the store and all wait for a store that
+// never received their calls.
 TEST_CASE_FIXTURE(Followers, "followers, watches cut while the store is silent, hold the next version in time")
 {
     mesh_.setStoreFault({{"silent", true}, {"cutWatches", true}});
@@ -135,7 +135,7 @@
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
-// Guards against a follower that nobody reaches and that waits for its watchers' word beside a store that answers.
+// Guards against a follower that no node reaches and that waits for its watchers while the store answers.
 TEST_CASE_FIXTURE(CutFollowers, "followers, links cut both ways, hold the next version in time")
 {
     cutLinks(true);
@@ -144,7 +144,7 @@
     cutLinks(false);
 }
 
-// Guards against a follower alone among nodes that have just started: none of them can confirm anything yet.
+// Guards against a follower among nodes that have just started: none of them can confirm anything yet.
 TEST_CASE_FIXTURE(Followers, "followers, all other nodes restarted at once, hold a version written meanwhile in time")
 {
     const int follower = withRole("follower").front();
