--- a/tests/integration/StaleStateTest.cpp
+++ b/tests/integration/StaleStateTest.cpp
@@ -29,20 +29,20 @@
 
 } // namespace
 
-// Guards against a node whose processor is taken for seconds by copies of a configuration that it already has.
-TEST_CASE_FIXTURE(LargeConfiguration, "old knowledge, node started beside many peers, reads the configuration once")
+// Guards against a node whose CPU is busy for seconds with copies of a configuration that it already has.
+TEST_CASE_FIXTURE(LargeConfiguration, "stale state, node started beside many peers, reads the configuration once")
 {
     mesh_.setStoreFault({{"slowListMs", 800}, {"slowListKind", names::configKind}});
     mesh_.node(0).kill();
     mesh_.startNode(0);
     REQUIRE(eventually([&] { return mesh_.isReady(0); }));
-    // Copies that peers have sent in the meantime are read by then.
+    // By then the copies that peers have sent in the meantime are read.
     pause(Millis(1500));
     CHECK(mesh_.countLogLines(0, {"event=config_read"}) == 1);
 }
 
-// Guards against a started node that is ready with an answer which waited unread while the version was replaced.
-TEST_CASE_FIXTURE(StaleState, "old knowledge, node held up while it starts, is ready only with the newest version")
+// Guards against a starting node that becomes ready with a response that waited unread while the version was replaced.
+TEST_CASE_FIXTURE(StaleState, "stale state, node suspended while it starts, is ready only with the newest version")
 {
     mesh_.setStoreFault({{"slowListMs", 800}, {"slowListKind", names::configKind}});
     mesh_.node(0).kill();
@@ -50,7 +50,8 @@
     pause(Millis(400));
     mesh_.node(0).signal(SIGSTOP);
     pause(Millis(800));
-    // The list with version 1 lies unread in the node's socket; the other nodes don't hear of version 2 from the store.
+    // The list with version 1 is unread in the node's socket, and the store does not report version 2 to the other
+    // nodes.
     mesh_.setStoreFault({{"deafWatches", true}, {"slowMs", 300}});
     mesh_.configure(2, "archive");
     pause(applyBound + Millis(100));
@@ -61,8 +62,8 @@
     CHECK(headerValue(answer->headers, names::signature) == "seal-i-2");
 }
 
-// Guards against nodes that lose their watches together and wait for long on a store that never heard them.
-TEST_CASE_FIXTURE(StaleState, "old knowledge, watches cut while the store is silent, hold the next version in time")
+// Guards against nodes that lose their watches together and wait long for a store that never received their calls.
+TEST_CASE_FIXTURE(StaleState, "stale state, watches cut while the store is silent, nodes hold the next version in time")
 {
     mesh_.setStoreFault({{"silent", true}, {"cutWatches", true}});
     pause(Millis(600));
@@ -71,9 +72,9 @@
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
-// Guards against watches that all go silent without a reset, right after a change has set their waits to the same
-// start.
-TEST_CASE_FIXTURE(StaleState, "old knowledge, watches gone silent, hold the next version in time")
+// Guards against watches that all go silent without a reset, right after a change made all waits start at the same
+// time.
+TEST_CASE_FIXTURE(StaleState, "stale state, watches gone silent, nodes hold the next version in time")
 {
     mesh_.configure(2);
     REQUIRE(eventually([&] { return isInForce(2); }));
@@ -83,8 +84,8 @@
     CHECK(eventually([&] { return isInForce(3); }, dueAfterDisturbance));
 }
 
-// Guards against a node that joins and gets no work because the others' watches on the roster went silent.
-TEST_CASE_FIXTURE(StaleState, "old knowledge, watches gone silent, know a node that joins soon")
+// Guards against a node that joins and gets no work because the other nodes' watches on the registry are silent.
+TEST_CASE_FIXTURE(StaleState, "stale state, watches gone silent, nodes soon see a node that joins")
 {
     mesh_.addRegistryEntry("first-to-join");
     REQUIRE(eventually([&] { return mesh_.countLogLines(0, {"event=roster_changed", "nodes=4"}) > 0; }));
@@ -100,8 +101,8 @@
     }
 }
 
-// Guards against a home that has forgotten a booking and says for that reason that it never runs: it would run twice.
-TEST_CASE("old knowledge, home that has forgotten a booking, does not say that it never runs")
+// Guards against a home that has evicted a booking and therefore reports that it never runs: it would run twice.
+TEST_CASE("stale state, home that has evicted a booking, does not report that it never runs")
 {
     MeshOptions options;
     options.services = {"other", "desk", "other"};
