--- a/tests/integration/SuspensionTest.cpp
+++ b/tests/integration/SuspensionTest.cpp
@@ -31,15 +31,15 @@
 
 } // namespace
 
-// Guards against a process that ends while it asks a home over a path in doubt and the home leaves the roster
-// meanwhile.
-TEST_CASE_FIXTURE(Suspension, "suspension, home that leaves the roster while its path is tried, does not end the node")
+// Guards against a process that crashes when a home leaves the registry while the path to it is checked.
+TEST_CASE_FIXTURE(Suspension,
+                  "suspension, home that leaves the registry while its path is checked, does not crash the node")
 {
     for (int round = 0; round < rounds; ++round) {
         mesh_.setLinkFault(1, {{"fromTarget", {{"hold", true}}}});
         runConcurrently({[&] { mesh_.send(0, "round-" + std::to_string(round), "/dates/1", Millis(900)); },
                          [&] {
-                             // The first receipt is missed after 150 ms; the question that follows waits as long.
+                             // The first ack is missed after 150 ms; the query that follows has the same timeout.
                              pause(Millis(180 + round * 10));
                              mesh_.removeRegistryEntry("n1");
                              pause(Millis(20));
