--- a/tests/support/ConfigPropagationRig.h
+++ b/tests/support/ConfigPropagationRig.h
@@ -8,14 +8,14 @@
 
 namespace waxwing::testing {
 
-/** The bound within which an acknowledged change is in force at every node that was undisturbed. */
+/** Time within which an acknowledged change is in force at every undisturbed node. */
 constexpr Millis applyBound{2500};
-/** A node that a disturbance has reached counts as undisturbed again after this time. */
+/** A disturbed node counts as undisturbed again after this time. */
 constexpr Millis undisturbedAfter{4000};
-/** A change is due at the later of two times; the disturbances of these tests come just before the change. */
+/** A change is due at the later of the two times; the disturbances of these tests come just before the change. */
 constexpr Millis dueAfterDisturbance = std::max(applyBound, undisturbedAfter);
 
-/** Bookings are for "archive" from version 2 on, whose server stands beside node 2. */
+/** From version 2 on, bookings are for "archive", whose server is beside node 2. */
 class ConfigPropagationRig
 {
 protected:
@@ -32,8 +32,8 @@
 
     bool isInForceAt(int node, std::uint64_t version) const
     {
-        const std::string word = "version=" + std::to_string(version);
-        return mesh_.countLogLines(node, {"event=config_in_force", word}) > 0;
+        const std::string field = "version=" + std::to_string(version);
+        return mesh_.countLogLines(node, {"event=config_in_force", field}) > 0;
     }
 
     bool isInForce(std::uint64_t version) const
