--- a/tests/standins/objectapi.cpp
+++ b/tests/standins/objectapi.cpp
@@ -1,6 +1,7 @@
 /**
- * Stand-in for the platform's object API: versions, conditional updates, watches, counted calls, and on demand an
- * outage, slowness, silence, watches that are cut or go deaf, or answers that are lost after the write took effect.
+ * Stand-in for the platform's object API: versions, conditional updates, watches and call counts. On request it
+ * simulates an outage, slowness, silence, watches that are cut or go silent, or responses that are lost after the write
+ * took effect.
  */
 #include "platform/Names.h"
 #include "src/http/HttpServer.h"
@@ -27,7 +28,7 @@
     bool deleted = false;
     json value;
 
-    /** Spec and metadata as the platform spells them. */
+    /** Spec and metadata in the platform's format. */
     json toJson() const
     {
         return {{"metadata",
@@ -43,10 +44,10 @@
 
 struct Faults {
     bool outage = false;
-    /** Calls that come meanwhile are never answered, also not later. */
+    /** Calls that come meanwhile are never answered, not even later. */
     bool silent = false;
     std::int64_t slowMs = 0;
-    /** Full lists of one kind take this much longer. */
+    /** Additional delay of full lists of one kind. */
     std::int64_t slowListMs = 0;
     std::string slowListKind;
     int loseAnswers = 0;
@@ -56,8 +57,8 @@
 struct Waiter {
     FiberLatch latch;
     bool cut = false;
-    /** Its connection has gone silent: it is never answered. */
-    bool deaf = false;
+    /** The connection is silent: the watch is never answered. */
+    bool isSilent = false;
 };
 
 struct Target {
@@ -153,7 +154,7 @@
         }
         for (const auto &waiter : waiting_) {
             waiter->cut = waiter->cut || body.value("cutWatches", false);
-            waiter->deaf = waiter->deaf || body.value("deafWatches", false);
+            waiter->isSilent = waiter->isSilent || body.value("deafWatches", false);
         }
         if (faults_.outage || body.value("cutWatches", false)) {
             wakeAll();
@@ -177,7 +178,7 @@
         waiter->latch.wait();
         timer.cancel();
         waiting_.remove(waiter);
-        if (waiter->deaf) {
+        if (waiter->isSilent) {
             blockForever();
         }
         return waiter->cut;
@@ -254,17 +255,17 @@
         }
         const std::string name = target.name.empty() ? metadata.value("name", "") : target.name;
         const auto found = objects_.find({target.kind, name});
-        const bool stands = found != objects_.end() && !found->second.deleted;
-        if (method == "POST" && stands) {
+        const bool exists = found != objects_.end() && !found->second.deleted;
+        if (method == "POST" && exists) {
             return conflict(found->second);
         }
-        if (method == "PUT" && !stands) {
+        if (method == "PUT" && !exists) {
             return reply(404, {{"error", "no such object"}});
         }
-        if (stands && metadata.value("rev", found->second.version) != found->second.version) {
+        if (exists && metadata.value("rev", found->second.version) != found->second.version) {
             return conflict(found->second);
         }
-        const std::uint64_t created = stands ? found->second.createdVersion : revision_ + 1;
+        const std::uint64_t created = exists ? found->second.createdVersion : revision_ + 1;
         Object &object = objects_[{target.kind, name}];
         object = Object{target.kind, name, ++revision_, created, false, body["spec"]};
         wakeAll();
@@ -301,7 +302,7 @@
     std::list<std::shared_ptr<Waiter>> waiting_;
     Faults faults_;
     std::uint64_t revision_ = 1;
-    /** Watches from before this revision are told that the history is gone. */
+    /** Watches from an earlier revision get the response that the history is gone. */
     std::uint64_t compactedBefore_ = 0;
 };
 
