--- a/src/sidecar/Forwarder.cpp
+++ b/src/sidecar/Forwarder.cpp
@@ -17,25 +17,25 @@
 
 namespace {
 
-/** Weight of the newest work time and answer in a route's means. */
+/** Weight of the newest sample in the moving averages of a route. */
 constexpr double workSmoothing = 0.1;
 constexpr double bytesPerKilobyte = 1024.0;
-/** Before any work of a route was seen it is planned with this part of its objective. */
+/** Expected work time of a route without samples, as a fraction of its response time objective. */
 constexpr double assumedWorkFraction = 0.3;
-/** An idempotent request that takes this many times the usual work time is tried elsewhere beside. */
+/** An idempotent request is hedged after this many times its expected work time. */
 constexpr double hedgeDelayFactor = 3.0;
 constexpr Millis minHedgeDelay{120};
-/** Part of the objective that must be left for a second try to be of use. */
+/** A hedge starts at the latest after this fraction of the response time objective, while it can still help. */
 constexpr double maxHedgeFraction = 0.75;
-/** Only news as young as a round trip between regions is reason enough to refuse without asking. */
+/** A request is refused without asking a home only on load data this recent: a round trip between regions. */
 constexpr Millis maxFreshLoadAge{100};
 constexpr Millis minRetryAfter{300};
 constexpr Millis minTimeLeft{5};
-/** A stopping node begins nothing that would likely run beyond its end: so many times the usual work, within bounds. */
+/** A stopping node starts a request only if this many times its expected work time is left, within the bounds below. */
 constexpr double stopWorkFactor = 2.0;
 constexpr Millis minStopReserve{500};
 constexpr Millis maxStopReserve{3000};
-/** A round trip between regions, and some time for a busy home. */
+/** Time for a home to answer a Cancel: a round trip between regions, with a margin for a busy home. */
 constexpr Millis cancelReplyTimeout{120};
 
 Millis toMillis(Duration value)
@@ -43,8 +43,8 @@
     return std::chrono::duration_cast<Millis>(value);
 }
 
-/** Rank of work that other work waits for; callers' work follows in the order of its routes' ranks. */
-constexpr int innerCallRank = 0;
+/** Nested calls are the most urgent, since other work waits for them; callers' requests follow by route priority. */
+constexpr int nestedCallRank = 0;
 constexpr int callerRankOffset = 1;
 
 } // namespace
@@ -58,22 +58,22 @@
 
     std::shared_ptr<const ForwardJob> jobPtr;
     const ForwardJob &job;
-    /** Answered by then it counts in full. */
+    /** A response up to this time meets the response time objective. */
     SteadyTime objective;
-    /** Made by the server beside this node for a work that it runs. */
+    /** Made by the server beside this node on behalf of a request that it runs. */
     bool nestedCall = false;
-    /** Of the request, and of a server's call that of the work which waits for it. */
+    /** Rank for the retry budget; a nested call has the rank of the request that waits for it. */
     int budgetRank = callerRankOffset;
     FiberNotifier notifier;
     std::vector<AttemptPtr> attempts;
     HomeSearch search;
-    /** Homes whose server had it, or may have. */
+    /** Homes whose server has received the request, or may have. */
     std::set<std::string> reachedHomes;
-    /** A home was asked in vain what became of the request, and it was not tried elsewhere since. */
+    /** The outcome of an attempt could not be queried, and no retry has been considered since. */
     bool hasLostAttempt = false;
-    /** A repeat was allowed and found no home that takes it. */
+    /** A retry was allowed but no home accepted it. */
     bool noOtherHome = false;
-    /** The node stops: it is not sent any more, and what waits for a server is taken back. */
+    /** The node stops: attempts in a queue are cancelled and no further home is tried. */
     bool queuedCancelled = false;
     bool finished = false;
 };
@@ -107,7 +107,7 @@
         }
         homes.push_back(RankedHome{entry->id, distance});
     }
-    // The server beside this node needs no entry in the store to be found.
+    // The server beside this node is usable without a registry entry.
     if (!listed && core_.settings.server->service == service) {
         homes.push_back(RankedHome{core_.self.id, Distance::SameNode});
     }
@@ -125,7 +125,7 @@
 
 int Forwarder::priorityOf(const Run &run)
 {
-    return run.nestedCall ? innerCallRank : callerRankOffset + run.job.route->priority;
+    return run.nestedCall ? nestedCallRank : callerRankOffset + run.job.route->priority;
 }
 
 HomeQuery Forwarder::homeQueryOf(const Run &run) const
@@ -133,33 +133,33 @@
     const SteadyTime now = core_.clock.now();
     const Duration workTime = expectedWorkTime(*run.job.route);
     const auto stats = stats_.find(run.job.route->name);
-    HomeQuery need;
-    need.retryable = canRetry(run);
-    need.priority = priorityOf(run);
-    need.untilObjective = toMillis(run.objective - now);
-    need.untilDeadline = toMillis(run.job.deadline - now);
-    need.workTime = toMillis(workTime);
-    need.mustQueue = run.search.mustQueue();
-    need.responseKilobytes = stats == stats_.end() ? 0.0 : stats->second.kilobytes;
-    return need;
+    HomeQuery query;
+    query.retryable = canRetry(run);
+    query.priority = priorityOf(run);
+    query.untilObjective = toMillis(run.objective - now);
+    query.untilDeadline = toMillis(run.job.deadline - now);
+    query.workTime = toMillis(workTime);
+    query.mustQueue = run.search.mustQueue();
+    query.responseKilobytes = stats == stats_.end() ? 0.0 : stats->second.kilobytes;
+    return query;
 }
 
 SteadyTime Forwarder::hedgeTime(const Run &run) const
 {
-    const auto usual = std::chrono::duration_cast<Duration>(expectedWorkTime(*run.job.route) * hedgeDelayFactor);
-    const auto latest = std::chrono::duration_cast<Duration>(run.job.route->responseTime * maxHedgeFraction);
-    return run.job.arrived + std::max<Duration>(minHedgeDelay, std::min(usual, latest));
+    const auto byWorkTime = std::chrono::duration_cast<Duration>(expectedWorkTime(*run.job.route) * hedgeDelayFactor);
+    const auto byObjective = std::chrono::duration_cast<Duration>(run.job.route->responseTime * maxHedgeFraction);
+    return run.job.arrived + std::max<Duration>(minHedgeDelay, std::min(byWorkTime, byObjective));
 }
 
 CallRates Forwarder::retryCostOf(const Run &run) const
 {
-    CallRates repeats;
+    CallRates cost;
     const auto found = stats_.find(run.job.route->name);
     if (found != stats_.end()) {
-        repeats = found->second.calls;
+        cost = found->second.calls;
     }
-    repeats[run.job.service] += 1.0;
-    return repeats;
+    cost[run.job.service] += 1.0;
+    return cost;
 }
 
 RetryReason Forwarder::retryReasonOf(const Run &run) const
@@ -170,40 +170,41 @@
 bool Forwarder::canRetry(const Run &run) const
 {
     const Route &route = *run.job.route;
-    const bool room = static_cast<int>(run.reachedHomes.size()) + 1 < route.maxAttempts;
-    return route.idempotent && room && retryBudgets_.canAfford(retryCostOf(run), retryReasonOf(run));
+    const bool hasAttemptsLeft = static_cast<int>(run.reachedHomes.size()) + 1 < route.maxAttempts;
+    return route.idempotent && hasAttemptsLeft && retryBudgets_.canAfford(retryCostOf(run), retryReasonOf(run));
 }
 
-bool Forwarder::reserveRetry(Run &run, RetryReason purpose, const char *why)
+bool Forwarder::reserveRetry(Run &run, RetryReason reason, const char *why)
 {
     const Route &route = *run.job.route;
-    const bool room = static_cast<int>(run.reachedHomes.size()) < route.maxAttempts;
-    const auto wanted = [&] {
-        const bool time = core_.clock.now() + minTimeLeft < std::min(run.job.deadline, latestStart(run));
-        return time && !run.finished && !run.job.control->cancelled;
+    const bool hasAttemptsLeft = static_cast<int>(run.reachedHomes.size()) < route.maxAttempts;
+    const auto canStillRun = [&] {
+        const bool hasTimeLeft = core_.clock.now() + minTimeLeft < std::min(run.job.deadline, latestStart(run));
+        return hasTimeLeft && !run.finished && !run.job.control->cancelled;
     };
-    const CallRates repeats = retryCostOf(run);
-    const bool budget = room && wanted() && retryBudgets_.spend(repeats, purpose);
-    // Borrowing takes some round trips. A caller that left meanwhile must not have its request sent to a server.
-    const bool may = budget && wanted();
-    if (budget && !may) {
-        retryBudgets_.giveBack(repeats);
+    const CallRates cost = retryCostOf(run);
+    const bool reserved = hasAttemptsLeft && canStillRun() && retryBudgets_.spend(cost, reason);
+    // A token transfer takes some round trips. If the caller has disconnected by then, the request must not be sent.
+    const bool allowed = reserved && canStillRun();
+    if (reserved && !allowed) {
+        retryBudgets_.refund(cost);
     }
-    if (!budget && room && wanted() && purpose != RetryReason::Hedge) {
+    if (!reserved && hasAttemptsLeft && canStillRun() && reason != RetryReason::Hedge) {
         retryBudgets_.noteDenied(run.job.service, run.budgetRank);
     }
     core_.events.writeRequest(
-        may ? Severity::Info : Severity::Warning, "second_send",
+        allowed ? Severity::Info : Severity::Warning, "second_send",
         {{"request", run.job.requestId},
          {"service", run.job.service},
          {"why", why},
          {"servers", std::to_string(run.reachedHomes.size())},
-         {"allowed", may ? "yes" : (!room ? "no-servers-used" : (!wanted() ? "no-time" : "no-budget"))}});
-    core_.metrics.count(may ? "second_sends" : "second_sends_refused");
-    return may;
+         {"allowed",
+          allowed ? "yes" : (!hasAttemptsLeft ? "no-servers-used" : (!canStillRun() ? "no-time" : "no-budget"))}});
+    core_.metrics.count(allowed ? "second_sends" : "second_sends_refused");
+    return allowed;
 }
 
-void Forwarder::startAttempt(const RunPtr &run, AttemptKind reason)
+void Forwarder::startAttempt(const RunPtr &run, AttemptKind kind)
 {
     auto attempt = std::make_shared<Attempt>();
     attempt->control = std::make_shared<RunControl>();
@@ -213,20 +214,20 @@
         run->notifier.notify();
     };
     run->attempts.push_back(attempt);
-    spawnFiber([this, run, attempt, reason] {
-        runAttempt(run, attempt, reason);
+    spawnFiber([this, run, attempt, kind] {
+        runAttempt(run, attempt, kind);
         attempt->ended = true;
         attempt->control->onOutcomeUnknown = {};
-        if (reason != AttemptKind::First && !attempt->reachedServer) {
-            retryBudgets_.giveBack(retryCostOf(*run));
-            // Asking the same homes once more would find none again.
-            run->noOtherHome = run->noOtherHome || reason == AttemptKind::Retry;
+        if (kind != AttemptKind::First && !attempt->reachedServer) {
+            retryBudgets_.refund(retryCostOf(*run));
+            // Another retry would ask the same homes, which have all refused.
+            run->noOtherHome = run->noOtherHome || kind == AttemptKind::Retry;
         }
         run->notifier.notify();
     });
 }
 
-void Forwarder::runAttempt(const RunPtr &run, const AttemptPtr &attempt, AttemptKind reason)
+void Forwarder::runAttempt(const RunPtr &run, const AttemptPtr &attempt, AttemptKind kind)
 {
     const ForwardJob &job = run->job;
     attempt->reply.outcome = Outcome::NotRun;
@@ -243,12 +244,12 @@
         }
         const bool loadIsFresh = choice.loadAge >= Millis(0) && choice.loadAge <= maxFreshLoadAge;
         if (choice.missesDeadline && loadIsFresh) {
-            // Every home would keep it beyond its deadline. The caller is better off to hear that at once.
+            // Every home would queue the request beyond its deadline. Refusing it now lets the caller retry sooner.
             attempt->reply.reason = "no-room";
             attempt->reply.load.wait = choice.wait;
             return;
         }
-        if (reason == AttemptKind::Hedge) {
+        if (kind == AttemptKind::Hedge) {
             choice.queueTimeout = Millis(0);
         }
         if (sendToHome(run, attempt, choice)) {
@@ -276,7 +277,7 @@
     work.request = job.request;
     attempt->home = choice.node;
     ranking_.noteSent(choice.node);
-    // Counted from now on: a second placement beside this one must not use the same server.
+    // Recorded before the send, so that a concurrent attempt does not use the same server.
     run->reachedHomes.insert(choice.node);
     run->search.noteSent(choice.node);
     SendResult result;
@@ -306,8 +307,8 @@
     if (noServer) {
         ranking_.noteNoServer(choice.node, after);
     }
-    const bool doubtful = reply.reason == refusalReasonName(RefusalReason::LikelyGray);
-    if (doubtful) {
+    const bool likelyGray = reply.reason == refusalReasonName(RefusalReason::LikelyGray);
+    if (likelyGray) {
         ranking_.noteLikelyGray(RankedHome{choice.node, choice.distance}, after);
     }
     updateStats(job.route->name, reply);
@@ -328,17 +329,17 @@
     attempt->reachedServer = attempt->reachedServer || reply.reachedServer || reply.outcome == Outcome::Unknown;
     const bool refused = reply.outcome == Outcome::NotRun && !reply.reachedServer;
     if (refused) {
-        // A refusal is news about the home; with it the same one may still be the best.
+        // The refusal updates the load of the home, which may still be the best choice.
         run->reachedHomes.erase(choice.node);
-        // A fenced Work never runs, and the fresh link that brought the word may carry the next one.
+        // A fenced Work never runs, and the new link that carried the fence reply may carry the next Work.
         const bool reachable = !result.pathFailed || reply.reason == fencedReason;
-        if (reachable && !noServer && !doubtful) {
+        if (reachable && !noServer && !likelyGray) {
             run->search.noteRefused(choice.node);
         }
         return attempt->control->cancelled || reply.reason == poisonReason;
     }
     if (reply.outcome == Outcome::NotRun && !attempt->control->cancelled) {
-        // It was an arrival at a server, though it did not run: another one is a second send.
+        // The server received the request but did not run it, so the next attempt counts as a retry.
         run->reachedHomes.erase(choice.node);
         return !reserveRetry(*run, retryReasonOf(*run), "server-refused");
     }
@@ -386,7 +387,7 @@
     return result;
 }
 
-ForwardResult Forwarder::finishTimedOut(const RunPtr &run, bool atOnce)
+ForwardResult Forwarder::finishTimedOut(const RunPtr &run, bool immediately)
 {
     for (const AttemptPtr &attempt : run->attempts) {
         attempt->control->cancel();
@@ -396,10 +397,10 @@
         return std::all_of(run->attempts.begin(), run->attempts.end(),
                            [](const AttemptPtr &one) { return one->ended; });
     };
-    // What only waited in a queue has not run, and its home says so within a round trip. That is worth as much to the
-    // caller as an answer: it may come again.
+    // A request that was only queued has not run, and its home confirms that within a round trip. The caller can then
+    // retry safely.
     const SteadyTime until = core_.clock.now() + cancelReplyTimeout;
-    while (!atOnce && !allEnded() && core_.clock.now() < until) {
+    while (!immediately && !allEnded() && core_.clock.now() < until) {
         run->notifier.wait(core_.ioContext, until - core_.clock.now());
     }
     WorkReply reply;
@@ -428,20 +429,20 @@
     run->nestedCall = home_.isNestedCall(job.route->name);
     run->budgetRank = callerRankOffset + job.route->priority;
     if (run->nestedCall) {
-        run->budgetRank = home_.callerRank(job.service).value_or(innerCallRank);
+        run->budgetRank = home_.callerRank(job.service).value_or(nestedCallRank);
     }
     retryBudgets_.noteRequest(job.service);
     if (run->nestedCall) {
-        // Late it still lets its parent be in time; not answered at all it fails the parent.
+        // A late response can still let the parent request finish in time; no response fails the parent.
         run->objective = job.deadline;
     }
     job.control->interrupt = [run] { run->notifier.notify(); };
     startAttempt(run, AttemptKind::First);
     const bool retryable = job.route->idempotent && job.route->maxAttempts > 1;
     bool hedged = false;
-    std::size_t judged = 0;
-    WorkReply last;
-    bool hasLast = false;
+    std::size_t evaluated = 0;
+    WorkReply lastReply;
+    bool hasLastReply = false;
     while (true) {
         const SteadyTime now = core_.clock.now();
         const SteadyTime hedgeAt = retryable && !hedged ? hedgeTime(*run) : SteadyTime::max();
@@ -456,31 +457,31 @@
             job.control->interrupt = {};
             return finishTimedOut(run, job.control->cancelled || aborting_);
         }
-        if (ended > judged) {
+        if (ended > evaluated) {
             for (const AttemptPtr &attempt : run->attempts) {
-                const bool good =
+                const bool succeeded =
                     attempt->ended && attempt->reply.outcome == Outcome::Ran && !attempt->reply.serverFault;
-                if (good) {
+                if (succeeded) {
                     job.control->interrupt = {};
                     return finish(run, attempt->reply);
                 }
             }
-            judged = ended;
+            evaluated = ended;
             for (const AttemptPtr &attempt : run->attempts) {
-                const bool better =
-                    attempt->ended
-                    && (!hasLast || attempt->reply.outcome == Outcome::Ran || last.outcome == Outcome::NotRun);
-                if (better) {
-                    last = attempt->reply;
-                    hasLast = true;
+                const bool preferred = attempt->ended
+                                       && (!hasLastReply || attempt->reply.outcome == Outcome::Ran
+                                           || lastReply.outcome == Outcome::NotRun);
+                if (preferred) {
+                    lastReply = attempt->reply;
+                    hasLastReply = true;
                 }
             }
             if (ended == run->attempts.size()) {
-                const bool failed = last.outcome != Outcome::NotRun && !run->noOtherHome;
-                const bool again = failed && retryable && reserveRetry(*run, retryReasonOf(*run), "failed");
-                if (!again) {
+                const bool failed = lastReply.outcome != Outcome::NotRun && !run->noOtherHome;
+                const bool retry = failed && retryable && reserveRetry(*run, retryReasonOf(*run), "failed");
+                if (!retry) {
                     job.control->interrupt = {};
-                    return finish(run, last);
+                    return finish(run, lastReply);
                 }
                 hedged = true;
                 startAttempt(run, AttemptKind::Retry);
@@ -489,10 +490,11 @@
         }
         if (run->hasLostAttempt) {
             run->hasLostAttempt = false;
-            const bool allLost = std::all_of(run->attempts.begin(), run->attempts.end(),
-                                             [](const AttemptPtr &one) { return one->ended || one->outcomeUnknown; });
-            const bool again = retryable && allLost && !run->noOtherHome;
-            if (again && reserveRetry(*run, retryReasonOf(*run), "fate-unknown")) {
+            const bool nonePending = std::all_of(run->attempts.begin(), run->attempts.end(), [](const AttemptPtr &one) {
+                return one->ended || one->outcomeUnknown;
+            });
+            const bool retry = retryable && nonePending && !run->noOtherHome;
+            if (retry && reserveRetry(*run, retryReasonOf(*run), "fate-unknown")) {
                 hedged = true;
                 startAttempt(run, AttemptKind::Retry);
             }
@@ -511,16 +513,16 @@
 
 void Forwarder::registryChanged()
 {
-    std::set<std::string> known = {core_.self.id};
+    std::set<std::string> nodes = {core_.self.id};
     for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
-        known.insert(entry->id);
+        nodes.insert(entry->id);
     }
-    ranking_.keepOnly(known);
+    ranking_.keepOnly(nodes);
 }
 
-void Forwarder::setStopDeadline(SteadyTime until)
+void Forwarder::setStopDeadline(SteadyTime deadline)
 {
-    stopDeadline_ = until;
+    stopDeadline_ = deadline;
     for (const RunPtr &run : active_) {
         run->notifier.notify();
     }
@@ -539,8 +541,8 @@
     if (stopDeadline_ == SteadyTime::max()) {
         return stopDeadline_;
     }
-    const auto work = std::chrono::duration_cast<Duration>(expectedWorkTime(*run.job.route) * stopWorkFactor);
-    return stopDeadline_ - std::clamp<Duration>(work, minStopReserve, maxStopReserve);
+    const auto reserve = std::chrono::duration_cast<Duration>(expectedWorkTime(*run.job.route) * stopWorkFactor);
+    return stopDeadline_ - std::clamp<Duration>(reserve, minStopReserve, maxStopReserve);
 }
 
 void Forwarder::cancelQueued(Run &run)
--- a/src/sidecar/Forwarder.h
+++ b/src/sidecar/Forwarder.h
@@ -24,7 +24,7 @@
 
 /** A caller's request on its way to a server. */
 struct ForwardJob {
-    /** Keeps the route alive, whatever version comes meanwhile. */
+    /** Owns @c route, so that the route stays valid when a newer configuration is applied. */
     std::shared_ptr<const FleetConfig> config;
     const Route *route = nullptr;
     std::string service;
@@ -44,8 +44,8 @@
 };
 
 /**
- * Brings a caller's request to a server: chooses homes, goes on to another one when a home refuses, sends idempotent
- * work again where that is worth it and within the fleet's budget. Not thread safe.
+ * Forwards callers' requests to servers: chooses a home, tries another one when a home refuses, and retries or hedges
+ * idempotent requests within the fleet's retry budget. Not thread safe.
  */
 class Forwarder
 {
@@ -53,77 +53,83 @@
     Forwarder(NodeCore &core, LocalHome &home, WorkSender &sender, RetryBudgetService &retryBudgets,
               PathMonitor &paths);
 
-    /** @pre called from a fiber. @p job is kept until the last of its sends has ended, which may be after the return.
+    /**
+     * Runs @p job and returns how it ended. @p job is kept until its last attempt has ended, which may be after the
+     * return. @pre called from a fiber.
      */
     ForwardResult run(const std::shared_ptr<const ForwardJob> &job);
-    /** The roster changed: forgets nodes that are gone. */
+    /** Drops the state of nodes that are no longer in the registry. */
     void registryChanged();
     /**
-     * The node ends at @p until. A request that has not begun to run so long before that it could be answered in time
-     * is refused then: its caller can have it run elsewhere, while a broken connection would leave it without a word.
+     * Sets when the node exits. A request that has not started when too little time is left to answer it before
+     * @p deadline is refused as not run, so that its caller can retry elsewhere. Otherwise its connection would close
+     * without a response and the caller would not know whether it ran.
      */
-    void setStopDeadline(SteadyTime until);
+    void setStopDeadline(SteadyTime deadline);
     /**
-     * Ends everything that is still under way with what is known of it. Answers of pipelined requests go out in order,
-     * so that one request at a slow server would keep back all answers behind it, ready as they are.
+     * Ends all active requests with the outcome known so far. Responses to pipelined requests are sent in order, so one
+     * request at a slow server would block responses behind it that are ready.
      */
     void abortAll();
 
 private:
+    /** A request that is being forwarded. */
     struct Run;
     using RunPtr = std::shared_ptr<Run>;
-    /** One try to have the request run by one server. */
+    /** One attempt to run the request. It moves from home to home until one accepts the request. */
     struct Attempt {
         RunControlPtr control;
         bool ended = false;
-        /** Its home can't be asked what became of it. */
+        /** Its home can't be reached to query the outcome. */
         bool outcomeUnknown = false;
         WorkReply reply;
         std::string home;
-        /** It was at a server, or may have been. */
+        /** A server has received the request, or may have. */
         bool reachedServer = false;
     };
     using AttemptPtr = std::shared_ptr<Attempt>;
     struct RouteStats {
-        /** Smoothed work time in seconds; 0: none seen. */
+        /** Moving average of the processing time; 0 if there is no sample. */
         double workSeconds = 0.0;
-        /** Smoothed size of the answers. */
+        /** Moving average of the response size. */
         double kilobytes = 0.0;
-        /** Calls that a run makes. */
+        /** Mean number of nested calls per execution. */
         CallRates calls;
     };
 
-    /** Why a request is given to a home. */
+    /** Why an attempt is made. */
     enum class AttemptKind {
         First,
-        /** The one before failed, or nobody knows what became of it. */
+        /** The previous attempt failed, or its outcome is unknown. */
         Retry,
-        /** The one before takes long. */
+        /** The previous attempt is slow. */
         Hedge,
     };
 
-    void startAttempt(const RunPtr &run, AttemptKind reason);
-    void runAttempt(const RunPtr &run, const AttemptPtr &attempt, AttemptKind reason);
+    void startAttempt(const RunPtr &run, AttemptKind kind);
+    void runAttempt(const RunPtr &run, const AttemptPtr &attempt, AttemptKind kind);
+    /** Returns true if the attempt has ended, false if another home is to be tried. */
     bool sendToHome(const RunPtr &run, const AttemptPtr &attempt, const HomeChoice &choice);
     std::vector<RankedHome> homesOf(const std::string &service) const;
     HomeQuery homeQueryOf(const Run &run) const;
     static int priorityOf(const Run &run);
     Duration expectedWorkTime(const Route &route) const;
     SteadyTime hedgeTime(const Run &run) const;
-    /** Second sends that one more send of the run's route is, by service. */
+    /** Returns the retry budget tokens that one more attempt costs, by service, nested calls included. */
     CallRates retryCostOf(const Run &run) const;
-    /** What a second send after a failure of the run is for. */
+    /** Returns the reason to charge a retry after a failure to. */
     RetryReason retryReasonOf(const Run &run) const;
-    /** If the next send fails, the request can and will be sent once more. */
+    /** Returns true if the request can be retried when the next attempt fails. */
     bool canRetry(const Run &run) const;
-    /** From then on it is not worth beginning here any more; max() unless the node stops. */
+    /** Returns the latest time at which the request may still be started here; max() unless the node stops. */
     SteadyTime latestStart(const Run &run) const;
     void cancelQueued(Run &run);
-    bool reserveRetry(Run &run, RetryReason purpose, const char *why);
+    /** Takes tokens for one more attempt from the retry budget; false if it must not be made. */
+    bool reserveRetry(Run &run, RetryReason reason, const char *why);
     void updateStats(const std::string &route, const WorkReply &reply);
     ForwardResult finish(const RunPtr &run, const WorkReply &reply);
-    /** @p atOnce: without waiting for the homes' word on what has not begun. */
-    ForwardResult finishTimedOut(const RunPtr &run, bool atOnce);
+    /** @p immediately: does not wait for the homes to confirm that queued requests have not run. */
+    ForwardResult finishTimedOut(const RunPtr &run, bool immediately);
 
     NodeCore &core_;
     LocalHome &home_;
--- a/src/sidecar/RetryBudgetService.cpp
+++ b/src/sidecar/RetryBudgetService.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/** Lenders answer within a round trip of the region, some 3 ms. */
+/** A donor replies within a round trip in the region, about 3 ms. */
 constexpr Millis transferTimeout{60};
 constexpr TransferTuning transferTuning;
-/** Pause after nobody had anything to lend: the windows of the lenders move on by a step of half a second. */
+/** Delay after too few tokens were received: the donors' sliding windows advance in steps of half a second. */
 constexpr Millis transferPause{500};
-/** Requests that went short are remembered for some steps of the window. */
+/** How long a denied retry counts: a few steps of the sliding window. */
 constexpr Millis denialRetention{2000};
 
 } // namespace
@@ -52,108 +52,110 @@
         return RetryReason::Failure;
     }
     const SteadyTime since = core_.clock.now() - denialRetention;
-    const bool yields = std::any_of(found->second.begin(), found->second.end(),
-                                    [&](const auto &seen) { return seen.first < rank && seen.second >= since; });
-    return yields ? RetryReason::LowPriorityFailure : RetryReason::Failure;
+    const bool mustYield = std::any_of(found->second.begin(), found->second.end(), [&](const auto &denial) {
+        return denial.first < rank && denial.second >= since;
+    });
+    return mustYield ? RetryReason::LowPriorityFailure : RetryReason::Failure;
 }
 
-bool RetryBudgetService::has(const CallRates &sends, RetryReason purpose) const
+bool RetryBudgetService::has(const CallRates &tokens, RetryReason reason) const
 {
     const SteadyTime now = core_.clock.now();
-    return std::all_of(sends.begin(), sends.end(), [&](const auto &one) {
+    return std::all_of(tokens.begin(), tokens.end(), [&](const auto &one) {
         const auto found = budgets_.find(one.first);
-        return found == budgets_.end() ? FleetRetryBudget(tuning_).has(one.second, nodeCount(), purpose, now)
-                                       : found->second.has(one.second, nodeCount(), purpose, now);
+        return found == budgets_.end() ? FleetRetryBudget(tuning_).has(one.second, nodeCount(), reason, now)
+                                       : found->second.has(one.second, nodeCount(), reason, now);
     });
 }
 
-bool RetryBudgetService::canAfford(const CallRates &sends, RetryReason purpose) const
+bool RetryBudgetService::canAfford(const CallRates &tokens, RetryReason reason) const
 {
     const SteadyTime now = core_.clock.now();
-    return std::all_of(sends.begin(), sends.end(), [&](const auto &one) {
-        const auto dry = noTransferUntil_.find(one.first);
-        const bool borrowable = dry == noTransferUntil_.end() || now >= dry->second;
-        return borrowable || has({one}, purpose);
+    return std::all_of(tokens.begin(), tokens.end(), [&](const auto &one) {
+        const auto noTransfer = noTransferUntil_.find(one.first);
+        const bool transferable = noTransfer == noTransferUntil_.end() || now >= noTransfer->second;
+        return transferable || has({one}, reason);
     });
 }
 
-bool RetryBudgetService::spend(const CallRates &sends, RetryReason purpose)
+bool RetryBudgetService::spend(const CallRates &tokens, RetryReason reason)
 {
-    if (purpose != RetryReason::Hedge) {
-        for (const auto &[service, count] : sends) {
-            if (!has({{service, count}}, purpose)) {
-                requestTransfers(service, count, purpose);
+    if (reason != RetryReason::Hedge) {
+        for (const auto &[service, count] : tokens) {
+            if (!has({{service, count}}, reason)) {
+                requestTransfers(service, count, reason);
             }
         }
     }
-    if (!has(sends, purpose)) {
+    if (!has(tokens, reason)) {
         return false;
     }
-    debit(sends);
+    debit(tokens);
     return true;
 }
 
-void RetryBudgetService::debit(const CallRates &sends)
+void RetryBudgetService::debit(const CallRates &tokens)
 {
-    for (const auto &[service, count] : sends) {
+    for (const auto &[service, count] : tokens) {
         budgetOf(service).take(count, core_.clock.now());
     }
 }
 
-void RetryBudgetService::giveBack(const CallRates &sends)
+void RetryBudgetService::refund(const CallRates &tokens)
 {
-    for (const auto &[service, count] : sends) {
+    for (const auto &[service, count] : tokens) {
         budgetOf(service).refund(count, core_.clock.now());
     }
 }
 
 std::vector<RegistryEntry> RetryBudgetService::transferCandidates() const
 {
-    std::vector<RegistryEntry> near;
+    std::vector<RegistryEntry> candidates;
     for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
         if (entry->region == core_.settings.region && entry->id != core_.self.id) {
-            near.push_back(*entry);
+            candidates.push_back(*entry);
         }
     }
-    if (near.empty()) {
-        return near;
+    if (candidates.empty()) {
+        return candidates;
     }
-    std::rotate(near.begin(), near.begin() + static_cast<std::ptrdiff_t>(core_.random() % near.size()), near.end());
-    near.resize(std::min(near.size(), transferTuning.maxDonors));
-    return near;
+    std::rotate(candidates.begin(),
+                candidates.begin() + static_cast<std::ptrdiff_t>(core_.random() % candidates.size()), candidates.end());
+    candidates.resize(std::min(candidates.size(), transferTuning.maxDonors));
+    return candidates;
 }
 
-void RetryBudgetService::requestTransfers(const std::string &service, double sends, RetryReason purpose)
+void RetryBudgetService::requestTransfers(const std::string &service, double tokens, RetryReason reason)
 {
-    const auto dry = noTransferUntil_.find(service);
-    if (dry != noTransferUntil_.end() && core_.clock.now() < dry->second) {
+    const auto noTransfer = noTransferUntil_.find(service);
+    if (noTransfer != noTransferUntil_.end() && core_.clock.now() < noTransfer->second) {
         return;
     }
-    double borrowed = 0.0;
+    double received = 0.0;
     for (const RegistryEntry &donor : transferCandidates()) {
-        const double lent = requestTransfer(donor, service, sends + transferTuning.extraTokens - borrowed, purpose);
-        budgetOf(service).transferIn(lent, core_.clock.now());
-        borrowed += lent;
-        if (has({{service, sends}}, purpose)) {
+        const double granted = requestTransfer(donor, service, tokens + transferTuning.extraTokens - received, reason);
+        budgetOf(service).transferIn(granted, core_.clock.now());
+        received += granted;
+        if (has({{service, tokens}}, reason)) {
             break;
         }
     }
-    if (borrowed < sends) {
+    if (received < tokens) {
         noTransferUntil_[service] = core_.clock.now() + transferPause;
     }
-    core_.metrics.count(borrowed > 0.0 ? "second_sends_borrowed" : "second_sends_not_lent");
+    core_.metrics.count(received > 0.0 ? "second_sends_borrowed" : "second_sends_not_lent");
     core_.events.writeRequest(
         Severity::Info, "second_sends_borrowed",
-        {{"service", service}, {"asked", std::to_string(sends)}, {"borrowed", std::to_string(borrowed)}});
+        {{"service", service}, {"asked", std::to_string(tokens)}, {"borrowed", std::to_string(received)}});
 }
 
-double RetryBudgetService::requestTransfer(const RegistryEntry &donor, const std::string &service, double sends,
-                                           RetryReason purpose)
+double RetryBudgetService::requestTransfer(const RegistryEntry &donor, const std::string &service, double tokens,
+                                           RetryReason reason)
 {
     PeerHub &peers = core_.service<PeerHub>("peers");
     const Expected<LinkId> link = peers.linkAt(donor.links, transferTimeout);
     const std::uint64_t id = nextId_++;
-    if (!link || !peers.reply(*link, BudgetTransferRequest{id, service, sends, purpose != RetryReason::Failure})) {
+    if (!link || !peers.reply(*link, BudgetTransferRequest{id, service, tokens, reason != RetryReason::Failure})) {
         core_.metrics.count("lenders_not_reached");
         return 0.0;
     }
@@ -170,14 +172,15 @@
 
 void RetryBudgetService::handle(LinkId link, const BudgetTransferRequest &request)
 {
-    const RetryReason purpose = request.lowPriority ? RetryReason::LowPriorityFailure : RetryReason::Failure;
-    const double lent = budgetOf(request.service).transferOut(request.tokens, purpose, nodeCount(), core_.clock.now());
-    core_.service<PeerHub>("peers").reply(link, BudgetTransferReply{request.id, lent});
+    const RetryReason reason = request.lowPriority ? RetryReason::LowPriorityFailure : RetryReason::Failure;
+    const double granted =
+        budgetOf(request.service).transferOut(request.tokens, reason, nodeCount(), core_.clock.now());
+    core_.service<PeerHub>("peers").reply(link, BudgetTransferReply{request.id, granted});
 }
 
 void RetryBudgetService::handleReply(const BudgetTransferReply &reply)
 {
-    // A reply after the timeout is dropped: the lender counts it as sent, so the bound holds all the same.
+    // A reply after the timeout is dropped. The donor has counted the tokens as used, so the fleet's bound still holds.
     const auto found = pending_.find(reply.id);
     if (found != pending_.end()) {
         found->second->answered = true;
--- a/src/sidecar/RetryBudgetService.h
+++ b/src/sidecar/RetryBudgetService.h
@@ -16,9 +16,9 @@
 class FiberNotifier;
 
 /**
- * The second sends that this node may make, by service, and the borrowing of more from other nodes. With equal parts
- * alone a node whose part was spent gave up requests while the fleet had used a tenth of its bound: failures cluster
- * where a gray server is, and the parts don't. Not thread safe.
+ * Holds this node's retry budget for each service and requests token transfers from other nodes when it is exhausted.
+ * With equal shares and no transfers, a node that had used up its share gave up requests while the fleet had used a
+ * tenth of its budget: failures are concentrated around a gray server, shares are not. Not thread safe.
  */
 class RetryBudgetService
 {
@@ -26,29 +26,30 @@
     /** @pre "peers" and "registry" are in the kernel before the first request. */
     RetryBudgetService(NodeCore &core, FleetRetryTuning tuning);
 
-    /** A request for @p service was taken from a caller or the server. */
+    /** Records a request for @p service from a caller or from the server beside this node. */
     void noteRequest(const std::string &service);
-    /** A request of @p rank (0 is the most urgent) for @p service went without a second send for want of them. */
+    /** Records that a request of @p rank (0 is the most urgent) for @p service was not retried for lack of tokens. */
     void noteDenied(const std::string &service, int rank);
     /**
-     * What a second send after a failure of a request of @p rank for @p service is for: less urgent requests leave a
-     * part of the sends to more urgent ones, where these went short lately. Without that, look-ups spent them while a
-     * whole service shed, and bookings that had not run were refused.
+     * Returns the reason to charge a retry to after a failure of a request of @p rank for @p service. If more urgent
+     * requests were recently denied a retry, less urgent ones get LowPriorityFailure, which reserves part of the budget
+     * for the urgent ones. Without this, lookups used up the budget while a whole service shed load, and bookings that
+     * had not run were refused.
      */
     RetryReason reasonFor(const std::string &service, int rank) const;
-    /** True if @p sends could be paid for, with what is here or with what others may lend. */
-    bool canAfford(const CallRates &sends, RetryReason purpose) const;
+    /** Returns true if @p tokens, by service, are available here or may be obtained by a transfer. */
+    bool canAfford(const CallRates &tokens, RetryReason reason) const;
     /**
-     * Pays for @p sends, and borrows what is missing if they follow a failure; false if there is not enough. @pre
-     * called from a fiber.
+     * Takes @p tokens, by service, from the budget. Unless @p reason is Hedge, missing tokens are requested from other
+     * nodes first. Returns false, and takes nothing, if there are too few. @pre called from a fiber.
      */
-    bool spend(const CallRates &sends, RetryReason purpose);
-    /** Sends that were paid for did not happen. */
-    void giveBack(const CallRates &sends);
+    bool spend(const CallRates &tokens, RetryReason reason);
+    /** Returns @p tokens to the budget for an attempt that did not reach a server. */
+    void refund(const CallRates &tokens);
 
-    /** Another node asks for a loan; the answer goes out on @p link. */
+    /** Handles a transfer request from another node and replies on @p link. */
     void handle(LinkId link, const BudgetTransferRequest &request);
-    /** The answer to a loan asked for here; one that comes too late is dropped. */
+    /** Handles the reply to a transfer request of this node; a reply after the timeout is dropped. */
     void handleReply(const BudgetTransferReply &reply);
 
 private:
@@ -58,11 +59,12 @@
         double tokens = 0.0;
     };
 
-    bool has(const CallRates &sends, RetryReason purpose) const;
-    void debit(const CallRates &sends);
-    /** Asks some nodes of this region, one after the other, until @p sends of @p service are here. */
-    void requestTransfers(const std::string &service, double sends, RetryReason purpose);
-    double requestTransfer(const RegistryEntry &donor, const std::string &service, double sends, RetryReason purpose);
+    bool has(const CallRates &tokens, RetryReason reason) const;
+    void debit(const CallRates &tokens);
+    /** Asks nodes of this region for transfers, one after the other, until @p tokens of @p service are available. */
+    void requestTransfers(const std::string &service, double tokens, RetryReason reason);
+    /** Returns the number of tokens that @p donor transferred; 0 on timeout. */
+    double requestTransfer(const RegistryEntry &donor, const std::string &service, double tokens, RetryReason reason);
     std::vector<RegistryEntry> transferCandidates() const;
     FleetRetryBudget &budgetOf(const std::string &service);
     std::size_t nodeCount() const;
@@ -70,9 +72,9 @@
     NodeCore &core_;
     FleetRetryTuning tuning_;
     std::map<std::string, FleetRetryBudget> budgets_;
-    /** Nobody had anything to lend: not asked again before this. */
+    /** By service, when transfers may be requested again after too few tokens were received. */
     std::map<std::string, SteadyTime> noTransferUntil_;
-    /** When a request of each rank went short last, by service. */
+    /** By service and rank, when a request was last denied a retry. */
     std::map<std::string, std::map<int, SteadyTime>> lastDenied_;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_;
     std::uint64_t nextId_ = 1;
