--- a/src/sidecar/FenceService.cpp
+++ b/src/sidecar/FenceService.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/** Two third nodes beside the direct way: one of them may itself be cut off or gone. */
+/** Relays used in addition to the direct path: two, since one of them may be unreachable itself. */
 constexpr std::size_t relayCount = 2;
-/** Longest that a node works for another one's question. */
+/** Timeout for forwarding a fence of another node. */
 constexpr Millis forwardTimeout{800};
-/** Longest that a large answer may take by one way. */
+/** Timeout for fetching a large reply over one path. */
 constexpr Millis fetchTimeout{4000};
-/** Answers up to this size come with the word that they are ready: asked in three ways, they come three times. */
+/** Larger bodies are not included unless requested: a query over three paths would transfer the reply three times. */
 constexpr std::size_t maxInlineBodyBytes = 8UL * 1024;
 
 } // namespace
@@ -27,44 +27,44 @@
     , fenceLocally_(std::move(fenceLocally))
 { }
 
-FenceReply FenceService::exchange(LinkId link, Fence fence, Duration allowed)
+FenceReply FenceService::exchange(LinkId link, Fence fence, Duration timeout)
 {
     fence.id = nextId_++;
     const auto pending = std::make_shared<Pending>();
     pending->notifier = std::make_shared<FiberNotifier>();
     pending_[fence.id] = pending;
     if (core_.service<PeerHub>("peers").reply(link, fence)) {
-        pending->notifier->wait(core_.ioContext, allowed);
+        pending->notifier->wait(core_.ioContext, timeout);
     }
     pending_.erase(fence.id);
     return pending->answered ? pending->reply : FenceReply{};
 }
 
-Fence FenceService::makeFence(const SentWork &work, bool queryOnly, bool fetch) const
+Fence FenceService::makeFence(const SentWork &work, bool queryOnly, bool includeLargeReply) const
 {
     const auto workAge = std::chrono::ceil<Millis>(core_.clock.now() - work.sentAt);
-    return Fence{0, work.target, core_.self, work.id, queryOnly, fetch, workAge};
+    return Fence{0, work.target, core_.self, work.id, queryOnly, includeLargeReply, workAge};
 }
 
-FenceReply FenceService::queryOver(LinkId link, const SentWork &work, bool queryOnly, Duration allowed)
+FenceReply FenceService::queryOver(LinkId link, const SentWork &work, bool queryOnly, Duration timeout)
 {
-    return exchange(link, makeFence(work, queryOnly, false), allowed);
+    return exchange(link, makeFence(work, queryOnly, false), timeout);
 }
 
 std::vector<RegistryEntry> FenceService::chooseRelays(const RegistryEntry &home)
 {
-    std::vector<RegistryEntry> near;
-    std::vector<RegistryEntry> far;
+    std::vector<RegistryEntry> sameRegion;
+    std::vector<RegistryEntry> otherRegions;
     for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
         if (entry->id != core_.self.id && entry->id != home.id) {
-            (entry->region == core_.settings.region ? near : far).push_back(*entry);
+            (entry->region == core_.settings.region ? sameRegion : otherRegions).push_back(*entry);
         }
     }
-    std::shuffle(near.begin(), near.end(), core_.random);
-    std::shuffle(far.begin(), far.end(), core_.random);
-    near.insert(near.end(), far.begin(), far.end());
-    near.resize(std::min(near.size(), relayCount));
-    return near;
+    std::shuffle(sameRegion.begin(), sameRegion.end(), core_.random);
+    std::shuffle(otherRegions.begin(), otherRegions.end(), core_.random);
+    sameRegion.insert(sameRegion.end(), otherRegions.begin(), otherRegions.end());
+    sameRegion.resize(std::min(sameRegion.size(), relayCount));
+    return sameRegion;
 }
 
 FenceReply FenceService::fetch(LinkId link, const SentWork &work, Duration left)
@@ -72,23 +72,23 @@
     return exchange(link, makeFence(work, true, true), std::min<Duration>(left, fetchTimeout));
 }
 
-FenceReply FenceService::query(const SentWork &work, FencePath &path, bool queryOnly, Duration allowed, Duration left)
+FenceReply FenceService::query(const SentWork &work, FencePath &path, bool queryOnly, Duration timeout, Duration left)
 {
-    FenceReply fate;
+    FenceReply reply;
     if (path.link) {
-        fate = queryOver(*path.link, work, queryOnly, allowed);
+        reply = queryOver(*path.link, work, queryOnly, timeout);
     }
-    if (fate.state == FenceState::NotKnown) {
+    if (reply.state == FenceState::NotKnown) {
         path.link.reset();
-        fate = queryAllPaths(work, path, queryOnly, allowed);
+        reply = queryAllPaths(work, path, queryOnly, timeout);
     }
-    if (fate.state == FenceState::Ended && !fate.reply && path.link) {
-        fate = fetch(*path.link, work, left);
+    if (reply.state == FenceState::Ended && !reply.reply && path.link) {
+        reply = fetch(*path.link, work, left);
     }
-    return fate;
+    return reply;
 }
 
-FenceReply FenceService::queryAllPaths(const SentWork &work, FencePath &path, bool queryOnly, Duration allowed)
+FenceReply FenceService::queryAllPaths(const SentWork &work, FencePath &path, bool queryOnly, Duration timeout)
 {
     struct Race {
         FiberNotifier notifier;
@@ -98,11 +98,11 @@
     };
     const auto race = std::make_shared<Race>();
     PeerHub &peers = core_.service<PeerHub>("peers");
-    const SteadyTime until = core_.clock.now() + allowed;
-    const auto start = [&](const RegistryEntry &by, bool fresh) {
+    const SteadyTime until = core_.clock.now() + timeout;
+    const auto start = [&](const RegistryEntry &node, bool newLink) {
         ++race->running;
-        spawnFiber([this, race, by, fresh, work, queryOnly, allowed, until, &peers] {
-            const Expected<LinkId> link = peers.linkAt(by.links, allowed, fresh);
+        spawnFiber([this, race, node, newLink, work, queryOnly, timeout, until, &peers] {
+            const Expected<LinkId> link = peers.linkAt(node.links, timeout, newLink);
             const Duration left = until - core_.clock.now();
             FenceReply reply;
             if (link && left > Duration(0)) {
@@ -130,7 +130,7 @@
 void FenceService::handle(LinkId link, const NodeRef &from, const Fence &fence)
 {
     if (fence.target.id != core_.self.id) {
-        // Only for the node that asks itself, so that a question takes one step at most.
+        // Forwarded only for the node that issued it, so that a fence is relayed at most once.
         if (from == fence.origin) {
             spawnFiber([this, link, fence] { forwardFence(link, fence); });
         }
@@ -152,7 +152,7 @@
     core_.service<PeerHub>("peers").reply(link, reply);
 }
 
-void FenceService::forwardFence(LinkId back, const Fence &fence)
+void FenceService::forwardFence(LinkId replyLink, const Fence &fence)
 {
     const RegistryEntryPtr target = core_.service<RegistrySync>("registry").registry().find(fence.target.id);
     FenceReply reply;
@@ -164,7 +164,7 @@
         }
     }
     reply.id = fence.id;
-    peers.reply(back, reply);
+    peers.reply(replyLink, reply);
 }
 
 void FenceService::handleReply(const FenceReply &reply)
--- a/src/sidecar/FenceService.h
+++ b/src/sidecar/FenceService.h
@@ -13,42 +13,43 @@
 struct NodeCore;
 class FiberNotifier;
 
-/** A Work of this node at another one. */
+/** A Work that this node has sent to another one. */
 struct SentWork {
     RegistryEntry home;
-    /** The incarnation that it was sent to. */
+    /** The incarnation of the home that it was sent to. */
     NodeRef target;
     std::uint64_t id = 0;
     SteadyTime sentAt;
 };
 
-/** The link by which the home of a Work, or a node that passes questions on to it, answered last. */
+/** The link over which the home of a Work, or a relay to it, last replied. */
 struct FencePath {
     std::optional<LinkId> link;
 };
 
 /**
- * Finds out what became of a Work when nothing comes back: asks its home over a fresh link and through other nodes, all
- * at once. A link that went silent, a path cut in one direction and a lost answer all look alike to the sender; the
- * home alone knows, and one of the ways to it is nearly always open. Not thread safe.
+ * Finds out the outcome of a Work for which no reply arrives: queries its home over a new link and through relays, all
+ * in parallel. The sender can't tell a silent link, a path that fails in one direction and a lost reply apart. Only the
+ * home has the outcome, and at least one path to it nearly always works. Not thread safe.
  */
 class FenceService
 {
 public:
-    /** Runs a Fence whose target is this node. */
+    /** Handles a Fence whose target is this node. */
     using FenceHandler = std::function<FenceReply(const Fence &)>;
 
     FenceService(NodeCore &core, FenceHandler fenceLocally);
 
     /**
-     * Asks by @p path, or in every way if it is empty or does not answer, and unless @p queryOnly forbids the Work to
-     * begin. NotKnown if no way answered in @p allowed. An answer that is ready is fetched within @p left.
+     * Queries the outcome over @p path, or over all paths if @p path is empty or gets no reply, and stores in @p path
+     * the link that replied. Unless @p queryOnly, prevents the Work from starting if it has not started yet. Returns
+     * NotKnown if no reply arrived within @p timeout. A large reply that is ready is fetched within @p left.
      * @pre called from a fiber.
      */
-    FenceReply query(const SentWork &work, FencePath &path, bool queryOnly, Duration allowed, Duration left);
-    /** Asks on the link that is there. @pre called from a fiber. */
-    FenceReply queryOver(LinkId link, const SentWork &work, bool queryOnly, Duration allowed);
-    /** Answers a Fence from another node, or passes it on to its target. */
+    FenceReply query(const SentWork &work, FencePath &path, bool queryOnly, Duration timeout, Duration left);
+    /** Queries the outcome over the open link @p link. @pre called from a fiber. */
+    FenceReply queryOver(LinkId link, const SentWork &work, bool queryOnly, Duration timeout);
+    /** Replies to a Fence from another node, or forwards it to its target. */
     void handle(LinkId link, const NodeRef &from, const Fence &fence);
     void handleReply(const FenceReply &reply);
 
@@ -59,11 +60,12 @@
         FenceReply reply;
     };
 
-    Fence makeFence(const SentWork &work, bool queryOnly, bool fetch) const;
-    FenceReply exchange(LinkId link, Fence fence, Duration allowed);
-    FenceReply queryAllPaths(const SentWork &work, FencePath &path, bool queryOnly, Duration allowed);
+    Fence makeFence(const SentWork &work, bool queryOnly, bool includeLargeReply) const;
+    FenceReply exchange(LinkId link, Fence fence, Duration timeout);
+    FenceReply queryAllPaths(const SentWork &work, FencePath &path, bool queryOnly, Duration timeout);
     FenceReply fetch(LinkId link, const SentWork &work, Duration left);
-    void forwardFence(LinkId back, const Fence &fence);
+    /** Forwards @p fence to its target and sends the reply on @p replyLink. */
+    void forwardFence(LinkId replyLink, const Fence &fence);
     std::vector<RegistryEntry> chooseRelays(const RegistryEntry &home);
 
     NodeCore &core_;
--- a/src/sidecar/WorkSender.cpp
+++ b/src/sidecar/WorkSender.cpp
@@ -12,17 +12,18 @@
 namespace {
 
 /**
- * A link needs three round trips to open, some 3 ms each within a region (near) and 60 ms between regions (far); the
- * rest is for nodes whose share of a core is used up for a tenth of a second.
+ * Opening a link takes three round trips: about 3 ms each within a region, 60 ms between regions. The rest is margin
+ * for nodes that are descheduled for 100 ms when they have used up their CPU quota.
  */
-constexpr Millis openTimeoutNear{200};
-constexpr Millis openTimeoutFar{450};
-/** A timer that fired so late shows that this node was busy, and with it how long what came may have lain unread. */
+constexpr Millis openTimeoutSameRegion{200};
+constexpr Millis openTimeoutOtherRegion{450};
+/** A timer this late shows that the node was busy; received messages may have been unread for as long as the lag. */
 constexpr Millis minTimerLag{20};
+/** Longest extension of a timeout for a late timer. */
 constexpr Millis maxTimerLag{300};
-/** With a receipt but without a word for so long the home is asked whether it still works on it. */
+/** An acknowledged Work is queried at its home when nothing has been received on the link for this long. */
 constexpr Millis idleQueryDelay{700};
-/** One round of asking in every way, and the pause between two. */
+/** Timeout of one query over all paths, and the delay before the next one, which doubles up to the maximum. */
 constexpr Millis fenceTimeout{500};
 constexpr Millis fenceRetryDelay{150};
 constexpr Millis maxFenceRetryDelay{2000};
@@ -31,12 +32,12 @@
 
 struct WorkSender::Pending {
     FiberNotifier notifier;
-    /** Of the Work sent; the rest of it is on its way. */
+    /** Copied from the Work, which is moved into the message. */
     std::string requestId;
     std::string home;
     LinkId link = 0;
     SteadyTime sentAt;
-    /** When the home was last asked whether it works on it. */
+    /** When the home was last queried about the Work. */
     SteadyTime queriedAt;
     bool acked = false;
     bool answered = false;
@@ -62,13 +63,14 @@
     return result;
 }
 
-SendResult WorkSender::run(const RegistryEntry &home, bool far, Work work, SteadyTime deadline,
+SendResult WorkSender::run(const RegistryEntry &home, bool otherRegion, Work work, SteadyTime deadline,
                            const RunControlPtr &control)
 {
     PeerHub &peers = core_.service<PeerHub>("peers");
     const std::uint64_t id = nextId_++;
     const SteadyTime opened = core_.clock.now();
-    const Expected<LinkId> link = peers.linkAt(home.links, far ? openTimeoutFar : openTimeoutNear);
+    const Expected<LinkId> link =
+        peers.linkAt(home.links, otherRegion ? openTimeoutOtherRegion : openTimeoutSameRegion);
     if (!link) {
         return pathFailure(id, "link-not-opened");
     }
@@ -102,12 +104,12 @@
     control->onCancelQueued = {};
     if (!pending->answered) {
         peers.reply(pending->link, Cancel{id});
-        // A home that has not begun says so; without its word the fate stays open.
+        // A home that has not started the Work replies that it has not run. Without a reply the outcome is unknown.
         const SteadyTime until = core_.clock.now() + paths_.answerTimeout(home);
         while (!pending->answered && !pending->linkLost && core_.clock.now() < until) {
             pending->notifier.wait(core_.ioContext, until - core_.clock.now());
         }
-        // Without this a path would stay in use as long as a second send elsewhere is faster than the missing receipt.
+        // Otherwise a failed path would stay in use whenever a retry or hedge elsewhere ends before the ack timeout.
         if (!pending->answered && !pending->acked) {
             noteFailedPath(*pending, SentWork{home, *peer, id, pending->sentAt});
         }
@@ -129,55 +131,56 @@
 
 bool WorkSender::awaitAck(Pending &pending, const SentWork &sent, SteadyTime deadline)
 {
-    const auto waits = [&] { return !pending.acked && !pending.linkLost && !pending.control->cancelled; };
+    const auto isWaiting = [&] { return !pending.acked && !pending.linkLost && !pending.control->cancelled; };
     SteadyTime until = std::min(deadline, core_.clock.now() + paths_.answerTimeout(sent.home));
     for (int round = 0; round < 2; ++round) {
-        while (waits() && core_.clock.now() < until) {
+        while (isWaiting() && core_.clock.now() < until) {
             pending.notifier.wait(core_.ioContext, until - core_.clock.now());
         }
-        const Duration overslept = core_.clock.now() - until;
-        if (!waits() || overslept < minTimerLag) {
+        const Duration timerLag = core_.clock.now() - until;
+        if (!isWaiting() || timerLag < minTimerLag) {
             break;
         }
-        until = std::min<SteadyTime>(deadline, core_.clock.now() + std::min<Duration>(overslept, maxTimerLag));
+        until = std::min<SteadyTime>(deadline, core_.clock.now() + std::min<Duration>(timerLag, maxTimerLag));
     }
     return pending.acked;
 }
 
 bool WorkSender::queryProgress(Pending &pending, const SentWork &sent, SteadyTime deadline)
 {
-    FenceReply fate;
+    FenceReply fenceReply;
     if (!pending.linkLost) {
         const Duration left = std::max(Duration(0), deadline - core_.clock.now());
-        fate = fences_.queryOver(pending.link, sent, true, std::min(left, paths_.answerTimeout(sent.home)));
+        fenceReply = fences_.queryOver(pending.link, sent, true, std::min(left, paths_.answerTimeout(sent.home)));
     }
-    if (fate.state == FenceState::Ended && fate.reply && !pending.answered) {
-        pending.reply = *fate.reply;
+    if (fenceReply.state == FenceState::Ended && fenceReply.reply && !pending.answered) {
+        pending.reply = *fenceReply.reply;
         pending.answered = true;
     }
-    return fate.state != FenceState::NotKnown;
+    return fenceReply.state != FenceState::NotKnown;
 }
 
 void WorkSender::awaitReply(Pending &pending, const SentWork &sent, SteadyTime deadline)
 {
-    const auto over = [&] { return pending.answered || pending.control->cancelled || core_.clock.now() >= deadline; };
-    if (!awaitAck(pending, sent, deadline) && !over()) {
+    const auto isDone = [&] { return pending.answered || pending.control->cancelled || core_.clock.now() >= deadline; };
+    if (!awaitAck(pending, sent, deadline) && !isDone()) {
         noteFailedPath(pending, sent);
         resolveOutcome(pending, sent, deadline, true);
         return;
     }
     PeerHub &peers = core_.service<PeerHub>("peers");
-    while (!over()) {
-        // As long as anything comes on the link, the home is there and an answer can come.
-        const SteadyTime heard = std::max(peers.lastReceivedAt(pending.link).value_or(SteadyTime()), pending.sentAt);
-        const SteadyTime quietAt = std::max(heard, pending.queriedAt) + idleQueryDelay;
+    while (!isDone()) {
+        // While anything is received on the link, the home is alive and its reply can still arrive.
+        const SteadyTime lastReceived =
+            std::max(peers.lastReceivedAt(pending.link).value_or(SteadyTime()), pending.sentAt);
+        const SteadyTime queryAt = std::max(lastReceived, pending.queriedAt) + idleQueryDelay;
         const SteadyTime now = core_.clock.now();
-        if (!pending.linkLost && now < quietAt) {
-            pending.notifier.wait(core_.ioContext, std::min(deadline, quietAt) - now);
+        if (!pending.linkLost && now < queryAt) {
+            pending.notifier.wait(core_.ioContext, std::min(deadline, queryAt) - now);
             continue;
         }
         pending.queriedAt = now;
-        if (!queryProgress(pending, sent, deadline) && !over()) {
+        if (!queryProgress(pending, sent, deadline) && !isDone()) {
             noteFailedPath(pending, sent);
             resolveOutcome(pending, sent, deadline, false);
             return;
@@ -185,7 +188,7 @@
     }
 }
 
-void WorkSender::logFenceReply(const Pending &pending, const SentWork &sent, const FenceReply &fate) const
+void WorkSender::logFenceReply(const Pending &pending, const SentWork &sent, const FenceReply &fenceReply) const
 {
     core_.events.writeRequest(Severity::Warning, "fate_asked",
                               {{"request", pending.requestId},
@@ -193,43 +196,43 @@
                                {"work", std::to_string(sent.id)},
                                {"received", pending.acked ? "yes" : "no"},
                                {"linkLost", pending.linkLost ? "yes" : "no"},
-                               {"state", fenceStateName(fate.state)}});
+                               {"state", fenceStateName(fenceReply.state)}});
 }
 
-void WorkSender::resolveOutcome(Pending &pending, const SentWork &sent, SteadyTime deadline, bool forbid)
+void WorkSender::resolveOutcome(Pending &pending, const SentWork &sent, SteadyTime deadline, bool fence)
 {
-    const auto over = [&] { return pending.answered || pending.control->cancelled || core_.clock.now() >= deadline; };
+    const auto isDone = [&] { return pending.answered || pending.control->cancelled || core_.clock.now() >= deadline; };
     FencePath path;
-    Duration pause = fenceRetryDelay;
-    while (!over()) {
+    Duration retryDelay = fenceRetryDelay;
+    while (!isDone()) {
         const Duration left = deadline - core_.clock.now();
-        const FenceReply fate = fences_.query(sent, path, !forbid, std::min<Duration>(left, fenceTimeout), left);
-        logFenceReply(pending, sent, fate);
+        const FenceReply fenceReply = fences_.query(sent, path, !fence, std::min<Duration>(left, fenceTimeout), left);
+        logFenceReply(pending, sent, fenceReply);
         if (pending.answered) {
             return;
         }
-        if (fate.state == FenceState::Ended && fate.reply) {
-            pending.reply = *fate.reply;
+        if (fenceReply.state == FenceState::Ended && fenceReply.reply) {
+            pending.reply = *fenceReply.reply;
             pending.answered = true;
             return;
         }
-        if (fate.state == FenceState::NeverRuns) {
+        if (fenceReply.state == FenceState::NeverRuns) {
             pending.reply = pathFailure(sent.id, fencedReason).reply;
             pending.answered = true;
             return;
         }
-        if (fate.state == FenceState::NotKnown && pending.control->onOutcomeUnknown) {
+        if (fenceReply.state == FenceState::NotKnown && pending.control->onOutcomeUnknown) {
             pending.control->onOutcomeUnknown();
         }
-        forbid = forbid && fate.state == FenceState::NotKnown;
-        pending.notifier.wait(core_.ioContext, std::min(left, pause));
-        pause = std::min<Duration>(maxFenceRetryDelay, pause * 2);
+        fence = fence && fenceReply.state == FenceState::NotKnown;
+        pending.notifier.wait(core_.ioContext, std::min(left, retryDelay));
+        retryDelay = std::min<Duration>(maxFenceRetryDelay, retryDelay * 2);
     }
 }
 
-void WorkSender::handleAck(const WorkAck &receipt)
+void WorkSender::handleAck(const WorkAck &ack)
 {
-    const auto found = pending_.find(receipt.id);
+    const auto found = pending_.find(ack.id);
     if (found != pending_.end()) {
         noteAck(*found->second);
         found->second->notifier.notify();
--- a/src/sidecar/WorkSender.h
+++ b/src/sidecar/WorkSender.h
@@ -16,48 +16,53 @@
 class PathMonitor;
 struct SentWork;
 
-/** Reason of a reply that says: the home was asked, and has not run it and never will. */
+/** Reason of a reply for a Work whose home has confirmed that it has not run and never will. */
 constexpr const char *fencedReason = "fenced";
 
-/** How one send to a home ended, and what it says about the path. */
+/** How one send to a home ended, and whether the path to it works. */
 struct SendResult {
     WorkReply reply;
-    /** The home can't be reached, or what it sends does not arrive. */
+    /** The home can't be reached, or its messages don't arrive. */
     bool pathFailed = false;
 };
 
 /**
- * Sends one Work to the home on another node and brings back how it ended. Whatever happens to the link, a Work that
- * can't be repeated ends as not run only if its home said so. Not thread safe.
+ * Sends Works to homes on other nodes and returns how they ended. Once a Work has been sent, it is reported as not run
+ * only if its home confirms that, whatever happens to the link. Not thread safe.
  */
 class WorkSender
 {
 public:
     WorkSender(NodeCore &core, FenceService &fences, PathMonitor &paths);
 
-    /** @pre called from a fiber; @p far: the home is in another region. */
-    SendResult run(const RegistryEntry &home, bool far, Work work, SteadyTime deadline, const RunControlPtr &control);
+    /** Sends @p work and waits for its end. @p otherRegion: the home is in another region. @pre called from a fiber. */
+    SendResult run(const RegistryEntry &home, bool otherRegion, Work work, SteadyTime deadline,
+                   const RunControlPtr &control);
 
-    void handleAck(const WorkAck &receipt);
+    void handleAck(const WorkAck &ack);
     void handleReply(WorkReply reply);
     void linkClosed(LinkId link);
 
 private:
     struct Pending;
 
+    /** Returns a result that reports a failed path and a Work that has not run. */
     SendResult pathFailure(std::uint64_t id, const std::string &reason) const;
-    /** The path is in doubt: told at once, long before the send that found out has ended. */
+    /** Reports the failure to the path monitor at once, long before the send that detected it ends. */
     void noteFailedPath(Pending &pending, const SentWork &sent);
-    /** False if no receipt came in time. */
+    /** Returns false if no acknowledgement arrived in time. */
     bool awaitAck(Pending &pending, const SentWork &sent, SteadyTime deadline);
     void awaitReply(Pending &pending, const SentWork &sent, SteadyTime deadline);
-    /** The link has been silent for a while: asks on it. False if no answer came. */
+    /** Queries the home over a link that has been idle. Returns false if no reply arrived. */
     bool queryProgress(Pending &pending, const SentWork &sent, SteadyTime deadline);
-    /** The path is in doubt: asks by every way until the fate is known or the time is over. */
-    void resolveOutcome(Pending &pending, const SentWork &sent, SteadyTime deadline, bool forbid);
-    /** A receipt, or the reply itself: either shows the path's round trip. */
+    /**
+     * Queries the home over all paths until the outcome is known or the deadline has passed. @p fence: prevents the
+     * Work from starting if it has not started yet.
+     */
+    void resolveOutcome(Pending &pending, const SentWork &sent, SteadyTime deadline, bool fence);
+    /** Records an acknowledgement, or a reply without one before it, as a round trip time sample of the path. */
     void noteAck(Pending &pending);
-    void logFenceReply(const Pending &pending, const SentWork &sent, const FenceReply &fate) const;
+    void logFenceReply(const Pending &pending, const SentWork &sent, const FenceReply &fenceReply) const;
 
     NodeCore &core_;
     FenceService &fences_;
