--- a/src/sidecar/LocalHome.cpp
+++ b/src/sidecar/LocalHome.cpp
@@ -14,25 +14,26 @@
 
 namespace {
 
-/** Also how often memory of ended works is cleared. */
+/** Also the interval at which old results are evicted. */
 constexpr Millis maxPollInterval{1000};
 constexpr Millis minPollInterval{1};
-/** How long the end of a Work is remembered; a sender asks within its deadline, and most are shorter. */
+/** How long the result of a Work is kept. A sender queries it within its deadline, and most deadlines are shorter. */
 constexpr Millis resultRetention = std::chrono::seconds(12);
 constexpr std::size_t maxRetainedResults = 2000;
-/** A question may have been under way for so long. */
+/** Longest time that a Fence may be in transit. */
 constexpr Millis maxFenceTransit{1500};
-/** Of answers larger than this so many bytes are held for senders that ask: three seconds of a 13 Mbit/s link. */
-constexpr std::size_t largeAnswerBytes = 16UL * 1024;
-constexpr std::size_t maxLargeAnswerBytes = 5UL * 1024 * 1024;
-/** Less than this can't be used by any server. */
+/** Total size limit for kept responses larger than the threshold: three seconds of traffic on a 13 Mbit/s link. */
+constexpr std::size_t largeResponseBytes = 16UL * 1024;
+constexpr std::size_t maxLargeResponseBytes = 5UL * 1024 * 1024;
+/** No server can answer in less time than this. */
 constexpr Millis minTimeLeft{5};
-/** Servers close idle connections after about ten seconds, some sooner. */
+/** Maximum idle time of a reused connection: servers close theirs after about ten seconds, some sooner. */
 constexpr Millis maxIdle{5000};
-/** Work that can't be tried again goes on a connection that was in use just now, or on a new one. */
+/** The same for work that can't be retried, which uses only a recently used connection or a new one. */
 constexpr Millis maxIdleNonIdempotent{2500};
-/** A server that stayed silent till the deadline, which is much longer than its usual work, is likelier gray. */
+/** How much more likely a gray server is than a healthy one to send no response by the deadline. */
 constexpr double timeoutLikelihoodRatio = 8.0;
+/** A timeout counts against the server only after this many times its expected work time. */
 constexpr int timeoutWorkFactor = 4;
 
 std::string millisText(Duration value)
@@ -55,7 +56,7 @@
     SteadyTime deadline;
     SteadyTime arrived;
     WorkReply reply;
-    /** A call that the server made for it failed. */
+    /** A nested call that the server may have made for this work failed. */
     bool callFailed = false;
 };
 
@@ -106,7 +107,7 @@
     if (const Announcement *serving = server_.serving()) {
         queue_.setServer(serving->slots, change == ServerChange::Started, now);
     } else {
-        dropWaiting(queue_.clearServer());
+        releaseQueued(queue_.clearServer());
     }
     if (change != ServerChange::None) {
         const Announcement *latest = server_.latest();
@@ -116,35 +117,35 @@
     pollQueue();
 }
 
-void LocalHome::dropWaiting(const std::vector<std::uint64_t> &ids)
+void LocalHome::releaseQueued(const std::vector<std::uint64_t> &ids)
 {
     for (const std::uint64_t id : ids) {
-        const auto queuedJob = queuedJobs_.find(id);
-        if (queuedJob != queuedJobs_.end()) {
-            queuedJob->second.latch->release();
+        const auto found = queuedJobs_.find(id);
+        if (found != queuedJobs_.end()) {
+            found->second.latch->release();
         }
     }
 }
 
 void LocalHome::pollQueue()
 {
-    const SlotQueue::PollResult due = queue_.poll(core_.clock.now());
-    for (const std::uint64_t id : due.start) {
-        const auto queuedJob = queuedJobs_.find(id);
-        if (queuedJob != queuedJobs_.end()) {
-            queuedJob->second.started = true;
-            queuedJob->second.latch->release();
+    const SlotQueue::PollResult result = queue_.poll(core_.clock.now());
+    for (const std::uint64_t id : result.start) {
+        const auto found = queuedJobs_.find(id);
+        if (found != queuedJobs_.end()) {
+            found->second.started = true;
+            found->second.latch->release();
         } else {
             queue_.release(id, core_.clock.now());
         }
     }
-    dropWaiting(due.expired);
+    releaseQueued(result.expired);
 }
 
 void LocalHome::expiryLoop()
 {
     while (true) {
-        // Woken by the first request that waits, and then at the time when one has waited long enough.
+        // Wakes when a request is queued, and at the next time when the queue must be polled.
         const SteadyTime before = core_.clock.now();
         const SteadyTime due = queue_.nextPollTime(before);
         const Duration pause = due == SteadyTime::max()
@@ -181,18 +182,18 @@
     entry.reply = reply;
     entry.endedAt = core_.clock.now();
     ended_.emplace_back(entry.endedAt, key);
-    if (reply.response.body.size() > largeAnswerBytes) {
-        largeAnswers_.push_back(key);
+    if (reply.response.body.size() > largeResponseBytes) {
+        largeResponses_.push_back(key);
         largeBytes_ += reply.response.body.size();
-        evictLargeAnswers();
+        evictLargeResponses();
     }
 }
 
-void LocalHome::evictLargeAnswers()
+void LocalHome::evictLargeResponses()
 {
-    while (largeBytes_ > maxLargeAnswerBytes) {
-        const auto oldest = entries_.find(largeAnswers_.front());
-        largeAnswers_.pop_front();
+    while (largeBytes_ > maxLargeResponseBytes) {
+        const auto oldest = entries_.find(largeResponses_.front());
+        largeResponses_.pop_front();
         if (oldest == entries_.end()) {
             continue;
         }
@@ -210,7 +211,7 @@
     if (found == entries_.end()) {
         return;
     }
-    if (found->second.reply.response.body.size() > largeAnswerBytes) {
+    if (found->second.reply.response.body.size() > largeResponseBytes) {
         largeBytes_ -= found->second.reply.response.body.size();
     }
     entries_.erase(found);
@@ -241,12 +242,12 @@
     const auto latch = std::make_shared<FiberLatch>();
     queuedJobs_[job.id] = QueuedJob{latch, false};
     expiry_.notify();
-    const auto leave = [this, latch, id = job.id] {
+    const auto cancelWait = [this, latch, id = job.id] {
         queue_.cancel(id);
         latch->release();
     };
-    job.control->interrupt = leave;
-    job.control->onCancelQueued = leave;
+    job.control->interrupt = cancelWait;
+    job.control->onCancelQueued = cancelWait;
     latch->wait();
     job.control->interrupt = {};
     job.control->onCancelQueued = {};
@@ -265,8 +266,8 @@
 {
     const SteadyTime now = core_.clock.now();
     Job job{key, work, control, nextJob_++, now + work.remaining, now, {}};
-    const auto known = entries_.find(key);
-    if (known != entries_.end()) {
+    const auto existing = entries_.find(key);
+    if (existing != entries_.end()) {
         return refusal(job, "forbidden");
     }
     if (stopped_ || work.service != core_.settings.server->service) {
@@ -333,35 +334,35 @@
     options.matchesRequest = [&requestId](const HttpResponse &response) {
         return platform::isResponseTo(response, requestId);
     };
-    const HttpRequest stamped = platform::addServerHeaders(job.work.request, serving->server, left);
+    const HttpRequest forwarded = platform::addServerHeaders(job.work.request, serving->server, left);
     if (job.work.idempotent) {
         job.control->interrupt = [&cancel] { cancel.cancel(); };
     }
     nestedCalls_.begin(job.id, job.work.route, job.work.priority, now);
-    const auto answer = core_.client.exchange(core_.settings.server->address, stamped, options);
+    const auto response = core_.client.exchange(core_.settings.server->address, forwarded, options);
     job.callFailed = nestedCalls_.hadFailedCall(job.id);
     nestedCalls_.end(job.id, core_.clock.now());
     job.reply.calls = nestedCalls_.rates(job.work.route);
     job.control->interrupt = {};
     const Duration processingTime = core_.clock.now() - now;
     job.reply.processingTime = std::chrono::duration_cast<Millis>(processingTime);
-    handleResponse(job, answer, processingTime);
+    handleResponse(job, response, processingTime);
 }
 
-void LocalHome::handleResponse(Job &job, const tl::expected<HttpResponse, ExchangeError> &answer,
+void LocalHome::handleResponse(Job &job, const tl::expected<HttpResponse, ExchangeError> &response,
                                Duration processingTime)
 {
     const SteadyTime now = core_.clock.now();
-    if (!answer) {
-        handleFailure(job, answer.error(), processingTime);
+    if (!response) {
+        handleFailure(job, response.error(), processingTime);
         return;
     }
     WorkReply &reply = job.reply;
-    switch (platform::classifyAnswer(*answer)) {
+    switch (platform::classifyAnswer(*response)) {
     case platform::ServerAnswer::Answer:
         queue_.addResult(job.work.route, false, processingTime, now);
         reply.outcome = Outcome::Ran;
-        reply.response = *answer;
+        reply.response = *response;
         break;
     case platform::ServerAnswer::Failure:
         if (!job.callFailed) {
@@ -369,7 +370,7 @@
         }
         reply.outcome = Outcome::Ran;
         reply.serverFault = true;
-        reply.response = *answer;
+        reply.response = *response;
         break;
     case platform::ServerAnswer::NotRun:
         queue_.noteShed(now);
@@ -400,7 +401,7 @@
         reply.outcome = Outcome::NotRun;
         reply.reachedServer = false;
         if (error.failure == ExchangeFailure::Connect) {
-            // Nobody listens: the process ended. It comes back with a new heartbeat.
+            // The port is closed, so the process has ended. A new process registers with a new heartbeat.
             server_.noteReplaced();
             serverChanged(ServerChange::Stopped, "connection refused");
         } else if (!job.control->cancelled) {
@@ -415,9 +416,9 @@
         return;
     }
     if (error.failure == ExchangeFailure::Timeout) {
-        // Routes whose work never ends within their timeout say nothing about the server.
-        const bool knows = queue_.hasWorkTime(job.work.route);
-        if (knows && processingTime > timeoutWorkFactor * queue_.expectedWorkTime(job.work.route)) {
+        // A timeout on a route that has never completed here is no evidence against the server.
+        const bool hasSamples = queue_.hasWorkTime(job.work.route);
+        if (hasSamples && processingTime > timeoutWorkFactor * queue_.expectedWorkTime(job.work.route)) {
             queue_.addEvidence(timeoutLikelihoodRatio, now);
         }
         return;
@@ -432,8 +433,8 @@
 
 bool LocalHome::detectCrash(const Job &job)
 {
-    // A request may end each server that begins it, and its caller sends it again. What tells it from a broken
-    // connection: nobody listens at the server's address any more.
+    // A poison request crashes every server that runs it, and its caller retries it. Unlike after a broken connection,
+    // no process listens at the server's address any more.
     const Announcement *latest = server_.latest();
     if (latest == nullptr) {
         return false;
@@ -463,7 +464,7 @@
 {
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
-        // A Work with a large body may be overtaken by its Cancel.
+        // A Cancel can overtake its Work if the Work has a large body.
         entries_[key].phase = Phase::Fenced;
         ended_.emplace_back(core_.clock.now(), key);
     } else if (found->second.control) {
@@ -476,7 +477,7 @@
     FenceReply reply;
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
-        // One that was sent before the last work forgotten had ended may have run, ended and been forgotten as well.
+        // A Work sent before the end of an evicted one may have run, ended and been evicted as well.
         const SteadyTime sentAt = core_.clock.now() - workAge - maxFenceTransit;
         if (!queryOnly && sentAt > evictedUntil_) {
             entries_[key].phase = Phase::Fenced;
@@ -520,7 +521,7 @@
 {
     if (!stopped_) {
         stopped_ = true;
-        dropWaiting(queue_.removeWaiting());
+        releaseQueued(queue_.removeWaiting());
     }
 }
 
@@ -562,14 +563,14 @@
 double LocalHome::zoneShare(const std::string &zone, const std::set<std::string> &services) const
 {
     double all = 0.0;
-    double named = 0.0;
+    double matching = 0.0;
     for (const RegistryEntryPtr &entry : core_.service<RegistrySync>("registry").registry().all()) {
         if (entry->zone == zone) {
             all += 1.0;
-            named += services.count(entry->service) != 0 ? 1.0 : 0.0;
+            matching += services.count(entry->service) != 0 ? 1.0 : 0.0;
         }
     }
-    return all > 0.0 ? named / all : 1.0;
+    return all > 0.0 ? matching / all : 1.0;
 }
 
 void LocalHome::noteOrigin(const WorkKey &key, const std::string &route)
--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -19,10 +19,10 @@
 struct NodeCore;
 class FiberLatch;
 
-/** Reason of a refusal that is final: servers died with this request, and no other one gets it. */
+/** Reason for a final refusal: servers crashed while they ran this request, so it is sent to no other server. */
 constexpr const char *poisonReason = "request-ends-servers";
 
-/** Names one Work in the fleet: who sent it and that one's number for it. */
+/** Identifies a Work in the fleet: the node that sent it and that node's id for it. */
 struct WorkKey {
     NodeRef origin;
     std::uint64_t id = 0;
@@ -31,9 +31,9 @@
 };
 
 /**
- * The home of the one server beside this node: takes its heartbeats, admits work, hands it over, and remembers what
- * became of each Work so that a sender that lost the answer can ask. The decisions are SlotQueue's and
- * LocalServerState's. Not thread safe.
+ * The home of the one server beside this node: handles its heartbeats, admits and queues Works, dispatches them to the
+ * server, and keeps the outcome of each Work for senders that have not received the reply. SlotQueue and
+ * LocalServerState make the decisions. Not thread safe.
  */
 class LocalHome
 {
@@ -42,42 +42,43 @@
     explicit LocalHome(NodeCore &core);
     void start();
 
-    /** Handles a call of the server beside this node; nothing if @p request is none. */
+    /** Handles a call of the server beside this node. Returns nullopt if @p request is not such a call. */
     std::optional<HttpResponse> handleServerCall(const HttpRequest &request);
     /**
-     * Runs @p work on the server, or says why not. @p onAdmitted is called once if the work waits or starts here.
-     * @pre called from a fiber.
+     * Runs @p work on the server and returns its outcome, or the reason for a refusal. Calls @p onAdmitted once if the
+     * work is queued or started. @pre called from a fiber.
      */
     WorkReply run(const WorkKey &key, const Work &work, const RunControlPtr &control,
                   const std::function<void()> &onAdmitted = {});
-    /** The sender wants the answer only if the work has begun. */
+    /** Cancels the work if it is still queued; does nothing if it has started. */
     void cancelQueued(const WorkKey &key);
-    /** The sender no longer wants the answer. Work that is not idempotent and has begun goes on. */
+    /** Cancels the work for a sender that no longer needs the reply. Started work that is not idempotent goes on. */
     void cancel(const WorkKey &key);
     /**
-     * What became of a Work that was sent @p workAge before it was asked for; unless @p queryOnly it never begins after
-     * this. NotKnown if it may have ended so long ago that it is forgotten.
+     * Returns the state of a Work that was sent @p workAge before the query. Unless @p queryOnly, a Work that has not
+     * started never starts after this. Returns NotKnown if its result may have been evicted.
      */
     FenceReply fence(const WorkKey &key, bool queryOnly, Duration workAge);
-    /** It waits or runs here. */
+    /** Returns true if the work is queued or running here. */
     bool isInProgress(const WorkKey &key) const;
-    /** No more work of other nodes, and what waits goes back to them: this one stops. */
+    /** Refuses new work and returns queued work to its senders, because this node stops. */
     void stopAccepting();
-    /** As it stands for a request of @p priority. */
+    /** Returns the load that a request of @p priority meets here. */
     HomeLoad load(int priority) const;
-    /** Works waiting or running here. */
+    /** Returns the number of works queued or running here. */
     std::size_t busy() const;
-    /** A request of @p route for @p service came from this VM: from a caller, or from the server itself. */
+    /** Records a request of @p route for @p service from this VM: from a caller, or from the server itself. */
     void noteArrival(const std::string &route, const std::string &service);
-    /** Another node's home says that requests of @p route are calls of servers. */
+    /** Records that the home on another node classifies requests of @p route as nested calls. */
     void noteNestedCall(const std::string &route);
-    /** By what was seen so far requests of @p route from this VM are calls of the server beside this node. */
+    /** Returns true if requests of @p route from this VM are classified as nested calls of the server beside this node.
+     */
     bool isNestedCall(const std::string &route) const;
-    /** Rank of the most urgent work under way here that may call @p service; nothing if none is seen to. */
+    /** Returns the rank of the most urgent running work that may call @p service; nullopt if none is known to. */
     std::optional<int> callerRank(const std::string &service) const;
-    /** A call of the server beside this node failed: what it runs may fail for that reason alone. */
+    /** Records a failed nested call: the work that made it may fail for that reason, without a fault of the server. */
     void noteFailedCall(const std::string &route, const std::string &service);
-    /** The server said farewell or leaves. */
+    /** Returns true if the server has deregistered or is draining. */
     bool serverLeft() const;
 
 private:
@@ -97,38 +98,40 @@
     };
     struct QueuedJob {
         std::shared_ptr<FiberLatch> latch;
+        /** Whether the latch was released because the job may start. */
         bool started = false;
     };
     struct Job;
 
-    /** Part of the VMs of @p zone whose server belongs to one of @p services, by the roster. */
+    /** Returns the share of the VMs of @p zone whose server belongs to one of @p services, by the registry. */
     double zoneShare(const std::string &zone, const std::set<std::string> &services) const;
     void noteOrigin(const WorkKey &key, const std::string &route);
     void serverChanged(ServerChange change, const std::string &cause);
-    void dropWaiting(const std::vector<std::uint64_t> &ids);
+    void releaseQueued(const std::vector<std::uint64_t> &ids);
     void pollQueue();
     void expiryLoop();
     bool awaitSlot(Job &job, const std::function<void()> &onAdmitted);
     void dispatch(Job &job);
-    void handleResponse(Job &job, const tl::expected<HttpResponse, ExchangeError> &answer, Duration processingTime);
+    void handleResponse(Job &job, const tl::expected<HttpResponse, ExchangeError> &response, Duration processingTime);
     void handleFailure(Job &job, const ExchangeError &error, Duration processingTime);
-    /** True if the server's process ended with this request running; the request is remembered for it. */
+    /** Returns true, and records the request as fatal, if the server's process ended while it ran the request. */
     bool detectCrash(const Job &job);
     WorkReply refusal(const Job &job, const std::string &reason) const;
     void storeResult(const WorkKey &key, const WorkReply &reply);
-    /** Drops the oldest large answers where there are too many: their works stay known as ended. */
-    void evictLargeAnswers();
+    /** Drops the oldest large response bodies beyond the limit. Their works stay recorded as ended. */
+    void evictLargeResponses();
     void evict(const WorkKey &key);
 
     NodeCore &core_;
     LocalServerState server_;
     SlotQueue queue_;
     std::map<WorkKey, Entry> entries_;
+    /** Ended works and their end times, oldest first. */
     std::deque<std::pair<SteadyTime, WorkKey>> ended_;
-    /** When the last work that is forgotten ended. */
+    /** The latest end time of the evicted results. */
     SteadyTime evictedUntil_;
-    /** Works that ended whose answer is large, oldest first, and the bytes of those answers. */
-    std::deque<WorkKey> largeAnswers_;
+    /** Ended works with large responses, oldest first, and the total bytes of these responses. */
+    std::deque<WorkKey> largeResponses_;
     std::size_t largeBytes_ = 0;
     std::map<std::uint64_t, QueuedJob> queuedJobs_;
     FiberNotifier expiry_;
