--- a/src/sidecar/CallerHandler.cpp
+++ b/src/sidecar/CallerHandler.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 constexpr unsigned badRequest = 400;
-constexpr unsigned firstFailure = 400;
+constexpr unsigned firstClientError = 400;
 constexpr unsigned noRoute = 404;
 constexpr unsigned badGateway = 502;
 constexpr unsigned unavailable = 503;
 constexpr unsigned gatewayTimeout = 504;
-/** A node that knows no configuration yet learns it within about this time. */
+/** A node without a configuration receives one within about this time. */
 constexpr Millis noConfigRetryAfter{1000};
 
 Millis toMillis(Duration value)
@@ -120,9 +120,9 @@
     core_.service<BurnRecorder>("burn").record(job->service, route.name, burnResultOf(result, took, route));
     core_.metrics.count(std::string("outcome_") + outcomeName(result.outcome));
     core_.metrics.observe("request", took);
-    const bool hasAnswer = result.outcome == Outcome::Ran;
-    const unsigned status = hasAnswer ? result.response.status : statusOf(result);
-    core_.events.writeRequest(status >= firstFailure ? Severity::Warning : Severity::Info, "answered",
+    const bool hasResponse = result.outcome == Outcome::Ran;
+    const unsigned status = hasResponse ? result.response.status : statusOf(result);
+    core_.events.writeRequest(status >= firstClientError ? Severity::Warning : Severity::Info, "answered",
                               {{"request", job->requestId},
                                {"route", route.name},
                                {"service", job->service},
@@ -132,7 +132,7 @@
                                {"reason", result.reason},
                                {"callerGone", job->control->cancelled ? "yes" : "no"},
                                {"tookMs", std::to_string(toMillis(took).count())}});
-    if (hasAnswer) {
+    if (hasResponse) {
         return HttpReply{std::move(result.response), AfterResponse::KeepOpen};
     }
     return HttpReply{platform::errorResponse(status, job->requestId, result.reason, result.retryAfter),
--- a/src/sidecar/CallerHandler.h
+++ b/src/sidecar/CallerHandler.h
@@ -9,26 +9,27 @@
 struct NodeCore;
 
 /**
- * The callers' side of a node on the platform: finds the route, has the request run, and puts the outcome into a status
- * that is true. A 503 is only given for work that has not run and never will. Not thread safe.
+ * Handles callers' requests at a node on the platform: finds the route, forwards the request, and maps the outcome to a
+ * status. 503 is used only for a request that has not run and never will. Not thread safe.
  */
 class CallerHandler
 {
 public:
     explicit CallerHandler(NodeCore &core);
-    /** @pre called from a fiber. */
+    /** Runs a caller's request and returns the response. @pre called from a fiber. */
     HttpReply handle(HttpRequest request, const CallerWatchPtr &caller);
-    /** Answers the platform's question whether this node takes callers. */
+    /** Answers the platform's readiness check. */
     HttpReply handleReadiness(const HttpRequest &request);
-    /** Another configuration is in force. */
+    /** Resets the load balancing state after a configuration change. */
     void configChanged();
 
 private:
+    /** Returns an error response, and logs and counts the refusal. */
     HttpReply refuse(unsigned status, const std::string &requestId, const std::string &reason, Millis retryAfter);
 
     NodeCore &core_;
     WeightedRoundRobin balancer_;
-    /** The last answer to the platform's question. */
+    /** The result of the last readiness check. */
     bool lastReady_ = false;
 };
 
