--- a/tests/unit/FleetRetryBudgetTest.cpp
+++ b/tests/unit/FleetRetryBudgetTest.cpp
@@ -21,44 +21,44 @@
     return out;
 }
 
-int takeAll(FleetRetryBudget &budget, std::size_t nodes, RetryReason purpose, SteadyTime now)
+int takeAll(FleetRetryBudget &budget, std::size_t nodes, RetryReason reason, SteadyTime now)
 {
     int taken = 0;
-    while (budget.has(1.0, nodes, purpose, now) && taken < 10000) {
+    while (budget.has(1.0, nodes, reason, now) && taken < 10000) {
         budget.take(1.0, now);
         ++taken;
     }
     return taken;
 }
 
-/** Runs @p count works of each of two routes, of which only "parent" makes a call, two at a time. */
-void learn(NestedCallTracker &meter, int count)
+/** Runs @p count works of each of two routes, two at a time. Only "parent" makes nested calls. */
+void trainTracker(NestedCallTracker &tracker, int count)
 {
     std::uint64_t id = 0;
     SteadyTime now = start;
     for (int i = 0; i < count; ++i) {
-        meter.begin(++id, "parent", 1, now);
+        tracker.begin(++id, "parent", 1, now);
         if (i % 2 == 0) {
-            meter.begin(++id, "single", 1, now);
+            tracker.begin(++id, "single", 1, now);
         }
         now += Millis(20);
-        meter.arrived("inner", "records", now);
-        meter.end(id--, now);
+        tracker.arrived("inner", "records", now);
+        tracker.end(id--, now);
         if (i % 2 == 0) {
-            meter.end(id, now);
+            tracker.end(id, now);
         }
         ++id;
-        meter.begin(id + 1000, "single", 1, now);
+        tracker.begin(id + 1000, "single", 1, now);
         now += Millis(20);
-        meter.end(id + 1000, now);
+        tracker.end(id + 1000, now);
         now += Millis(40);
-        meter.arrived("callers", "records", now);
+        tracker.arrived("callers", "records", now);
     }
 }
 
 } // namespace
 
-TEST_CASE("second send budget, many nodes, together keep the bound of the fleet")
+TEST_CASE("fleet retry budget, many nodes, together stay within the fleet's bound")
 {
     constexpr std::size_t nodes = 24;
     constexpr int requestsEach = 40;
@@ -74,7 +74,7 @@
     CHECK(taken >= 0.2 * nodes * requestsEach);
 }
 
-TEST_CASE("second send budget, any span as long as the window, never holds more than the bound")
+TEST_CASE("fleet retry budget, any interval as long as the window, stays within the bound")
 {
     FleetRetryBudget budget(tuning());
     int taken = 0;
@@ -86,17 +86,18 @@
     CHECK(taken <= 0.2 * 40 + 50.0);
 }
 
-TEST_CASE("second send budget, hedges, leave half to requests that failed")
+TEST_CASE("fleet retry budget, hedges, leave half of the tokens to retries after failures")
 {
     FleetRetryBudget budget(tuning());
     CHECK(takeAll(budget, 1, RetryReason::Hedge, start) == 25);
     CHECK(takeAll(budget, 1, RetryReason::Failure, start) == 25);
 }
 
-TEST_CASE("second sends, less urgent requests, leave half to the more urgent ones, also when they borrow")
+TEST_CASE("fleet retry budget, low-priority failures, leave half of the tokens to urgent ones, transfers included")
 {
-    // All servers of a ledger shed half of their requests. Look-ups' calls spent the second sends, and lodgings, which
-    // are worth twice as much and had not run, were refused.
+    // Guards against less urgent requests that use up the budget while a whole service sheds half of its requests: the
+    // nested calls of lookups took all tokens, and lodgings, which are worth twice as much and had not run, were
+    // refused.
     FleetRetryTuning tuning;
     tuning.slack = 50.0 / tuning.usableFraction;
     FleetRetryBudget budget(tuning);
@@ -106,21 +107,22 @@
     CHECK(takeAll(budget, 1, RetryReason::Failure, start) == 20);
 }
 
-TEST_CASE("inner call meter, rank of the work that calls, is that of the most urgent one that makes such calls")
+TEST_CASE(
+    "nested call tracker, several works running, caller rank is that of the most urgent one that makes such calls")
 {
-    NestedCallTracker meter;
-    CHECK_FALSE(meter.callerRank("checks").has_value());
+    NestedCallTracker tracker;
+    CHECK_FALSE(tracker.callerRank("checks").has_value());
     for (std::uint64_t id = 0; id < 20; ++id) {
-        meter.begin(id, "parent", 3, start);
-        meter.arrived("check", "checks", start);
-        meter.end(id, start);
+        tracker.begin(id, "parent", 3, start);
+        tracker.arrived("check", "checks", start);
+        tracker.end(id, start);
     }
-    meter.begin(100, "parent", 3, start);
-    meter.begin(101, "single", 1, start);
-    CHECK(meter.callerRank("checks") == 3);
+    tracker.begin(100, "parent", 3, start);
+    tracker.begin(101, "single", 1, start);
+    CHECK(tracker.callerRank("checks") == 3);
 }
 
-TEST_CASE("second send budget, window over, is whole again")
+TEST_CASE("fleet retry budget, window has passed, is full again")
 {
     FleetRetryBudget budget(tuning());
     takeAll(budget, 1, RetryReason::Failure, start);
@@ -128,22 +130,23 @@
     CHECK(budget.has(1.0, 1, RetryReason::Failure, start + std::chrono::seconds(11)));
 }
 
-TEST_CASE("second send budget, loans, move sends and never make any")
+TEST_CASE("fleet retry budget, transfers, move tokens and never create any")
 {
-    // Failures cluster around a gray server, and the node beside it soon had spent its part, while the fleet had used a
-    // tenth of its bound: one of four calendars that could have been saved by a second send was not.
+    // Guards against requests lost for lack of transfers. Failures are concentrated around a gray server: the node
+    // beside it exhausted its share while the fleet had used a tenth of its bound, and one in four calendar requests
+    // that a retry could have saved was lost.
     constexpr std::size_t nodes = 4;
     std::vector<FleetRetryBudget> budgets(nodes, FleetRetryBudget(tuning()));
     int taken = 0;
     for (int round = 0; round < 200; ++round) {
         const SteadyTime now = start + Millis(20) * round;
-        FleetRetryBudget &needy = budgets[0];
-        if (!needy.has(1.0, nodes, RetryReason::Failure, now)) {
-            const std::size_t lender = 1 + static_cast<std::size_t>(round) % (nodes - 1);
-            needy.transferIn(budgets[lender].transferOut(3.0, RetryReason::Failure, nodes, now), now);
+        FleetRetryBudget &recipient = budgets[0];
+        if (!recipient.has(1.0, nodes, RetryReason::Failure, now)) {
+            const std::size_t donor = 1 + static_cast<std::size_t>(round) % (nodes - 1);
+            recipient.transferIn(budgets[donor].transferOut(3.0, RetryReason::Failure, nodes, now), now);
         }
-        if (needy.has(1.0, nodes, RetryReason::Failure, now)) {
-            needy.take(1.0, now);
+        if (recipient.has(1.0, nodes, RetryReason::Failure, now)) {
+            recipient.take(1.0, now);
             ++taken;
         }
     }
@@ -151,7 +154,7 @@
     CHECK(taken <= 50);
 }
 
-TEST_CASE("second send budget, loan that was not used at once, is void")
+TEST_CASE("fleet retry budget, transferred tokens not used at once, expire")
 {
     FleetRetryBudget budget(tuning());
     takeAll(budget, 1, RetryReason::Failure, start);
@@ -160,10 +163,10 @@
     CHECK_FALSE(budget.has(1.0, 1, RetryReason::Failure, start + Millis(600)));
 }
 
-TEST_CASE("second send budget, new loan, does not prolong an earlier one")
+TEST_CASE("fleet retry budget, new transfer, does not extend an earlier one")
 {
-    // A node that borrows again and again would keep what it did not use. The lender's window is over by then and it
-    // sends as much again: both together pass the bound.
+    // Guards against a node that keeps unused tokens by requesting transfers again and again. The donor's window has
+    // passed by then and the donor spends the same amount again, so that both together exceed the bound.
     FleetRetryBudget budget(tuning());
     takeAll(budget, 1, RetryReason::Failure, start);
     budget.transferIn(2.0, start);
@@ -173,129 +176,130 @@
     CHECK(budget.has(1.0, 1, RetryReason::Failure, start + Millis(600)));
 }
 
-TEST_CASE("second send budget, nothing left, lends nothing")
+TEST_CASE("fleet retry budget, exhausted, transfers nothing")
 {
     FleetRetryBudget budget(tuning());
     takeAll(budget, 1, RetryReason::Failure, start);
     CHECK(budget.transferOut(2.0, RetryReason::Failure, 1, start) == 0.0);
 }
 
-TEST_CASE("inner call meter, call fails, the work that made it is known to have seen it and others are not")
+TEST_CASE("nested call tracker, call fails, is attributed to the work that made it and to no other")
 {
-    // A calendar's server answers 500 because the records desk failed its call. Blaming the calendar's server put a
-    // sound one in doubt, and bookings went elsewhere.
-    NestedCallTracker meter;
-    learn(meter, 50);
+    // Guards against a healthy server that is taken for gray: a calendar server answers 500 because its nested call to
+    // the records service failed. Counted against the calendar server, that sent bookings elsewhere.
+    NestedCallTracker tracker;
+    trainTracker(tracker, 50);
     const SteadyTime later = start + std::chrono::minutes(1);
-    meter.begin(1, "parent", 1, later);
-    meter.begin(2, "single", 1, later);
-    meter.arrived("inner", "records", later);
-    CHECK_FALSE(meter.hadFailedCall(1));
-    meter.failed("inner", "records");
-    CHECK(meter.hadFailedCall(1));
-    CHECK_FALSE(meter.hadFailedCall(2));
+    tracker.begin(1, "parent", 1, later);
+    tracker.begin(2, "single", 1, later);
+    tracker.arrived("inner", "records", later);
+    CHECK_FALSE(tracker.hadFailedCall(1));
+    tracker.failed("inner", "records");
+    CHECK(tracker.hadFailedCall(1));
+    CHECK_FALSE(tracker.hadFailedCall(2));
 }
 
-TEST_CASE("inner call meter, server that is never idle, callers' requests are not taken for its calls")
+TEST_CASE("nested call tracker, server never idle, callers' requests are not classified as nested calls")
 {
-    // On a day of high load a server runs something all the time, so callers' requests come while it is busy, as its
-    // own calls do. Taken for calls, all of them were the most urgent and in time until their deadline: nothing had an
-    // order any more, and late work was served before work that could be in time.
-    NestedCallTracker meter;
-    meter.begin(1, "booking", 1, start);
+    // Guards against misclassification under high load: the server always runs something, so callers' requests arrive
+    // while it is busy, as its nested calls do. Classified as nested calls, they all had the highest priority and their
+    // deadline as objective. The queue lost its order, and late work was served before work that could be in time.
+    NestedCallTracker tracker;
+    tracker.begin(1, "booking", 1, start);
     for (int i = 0; i < 500; ++i) {
-        meter.arrived("callers", "desk", start + Millis(20) * i);
+        tracker.arrived("callers", "desk", start + Millis(20) * i);
     }
-    CHECK_FALSE(meter.isNestedCall("callers"));
+    CHECK_FALSE(tracker.isNestedCall("callers"));
 }
 
-TEST_CASE("inner call meter, callers stop sending for a while, are not taken for calls when they come back")
+TEST_CASE("nested call tracker, callers pause and resume, are not classified as nested calls")
 {
-    NestedCallTracker meter;
+    NestedCallTracker tracker;
     SteadyTime now = start;
-    meter.begin(1, "booking", 1, now);
+    tracker.begin(1, "booking", 1, now);
     for (int i = 0; i < 60; ++i) {
         now += Millis(20);
-        meter.arrived("callers", "desk", now);
+        tracker.arrived("callers", "desk", now);
     }
-    meter.end(1, now);
+    tracker.end(1, now);
     now += std::chrono::seconds(30);
-    meter.begin(2, "booking", 1, now);
-    meter.arrived("callers", "desk", now);
-    CHECK_FALSE(meter.isNestedCall("callers"));
+    tracker.begin(2, "booking", 1, now);
+    tracker.arrived("callers", "desk", now);
+    CHECK_FALSE(tracker.isNestedCall("callers"));
 }
 
-TEST_CASE("inner call meter, first request of a route, is not taken for a call")
+TEST_CASE("nested call tracker, first request of a route, is not classified as a nested call")
 {
-    NestedCallTracker meter;
-    meter.begin(1, "booking", 1, start);
-    meter.arrived("callers", "desk", start);
-    CHECK_FALSE(meter.isNestedCall("callers"));
+    NestedCallTracker tracker;
+    tracker.begin(1, "booking", 1, start);
+    tracker.arrived("callers", "desk", start);
+    CHECK_FALSE(tracker.isNestedCall("callers"));
 }
 
-TEST_CASE("inner call meter, server idle half of the time, its calls and callers' requests are told apart")
+TEST_CASE("nested call tracker, server idle half of the time, nested calls and callers' requests are distinguished")
 {
-    NestedCallTracker meter;
+    NestedCallTracker tracker;
     SteadyTime now = start;
     for (std::uint64_t id = 1; id <= 40; ++id) {
-        meter.begin(id, "parent", 1, now);
-        meter.arrived("inner", "records", now);
-        meter.arrived("callers", "desk", now);
+        tracker.begin(id, "parent", 1, now);
+        tracker.arrived("inner", "records", now);
+        tracker.arrived("callers", "desk", now);
         now += Millis(100);
-        meter.end(id, now);
-        meter.arrived("callers", "desk", now);
+        tracker.end(id, now);
+        tracker.arrived("callers", "desk", now);
         now += Millis(100);
     }
-    CHECK(meter.isNestedCall("inner"));
-    CHECK_FALSE(meter.isNestedCall("callers"));
+    CHECK(tracker.isNestedCall("inner"));
+    CHECK_FALSE(tracker.isNestedCall("callers"));
 }
 
-TEST_CASE("inner call meter, callers' own request fails, no work is excused by it")
+TEST_CASE("nested call tracker, callers' own request fails, is attributed to no work")
 {
-    NestedCallTracker meter;
-    learn(meter, 50);
+    NestedCallTracker tracker;
+    trainTracker(tracker, 50);
     const SteadyTime later = start + std::chrono::minutes(1);
-    meter.begin(1, "parent", 1, later);
-    meter.failed("callers", "records");
-    CHECK_FALSE(meter.hadFailedCall(1));
+    tracker.begin(1, "parent", 1, later);
+    tracker.failed("callers", "records");
+    CHECK_FALSE(tracker.hadFailedCall(1));
 }
 
-TEST_CASE("inner call meter, calls beside other work, are put down to the route that makes them")
+TEST_CASE("nested call tracker, calls concurrent with other work, are attributed to the route that makes them")
 {
-    // Second sends of calendar requests repeat the two calls that each makes at the records desk. The records desk's
-    // bound on repeats was broken by these: 117 of 224 in ten seconds, while each node kept to its own part.
-    NestedCallTracker meter;
-    learn(meter, 300);
-    REQUIRE(meter.rates("parent").count("records") == 1);
-    CHECK(meter.rates("parent").at("records") == doctest::Approx(1.0).epsilon(0.15));
-    const CallRates &single = meter.rates("single");
+    // Guards against nested calls that are not charged to the retry budget. A retried calendar request repeats its two
+    // calls to the records service. These were 117 of 224 repeats in ten seconds and exceeded the service's bound,
+    // while each node stayed within its own share.
+    NestedCallTracker tracker;
+    trainTracker(tracker, 300);
+    REQUIRE(tracker.rates("parent").count("records") == 1);
+    CHECK(tracker.rates("parent").at("records") == doctest::Approx(1.0).epsilon(0.15));
+    const CallRates &single = tracker.rates("single");
     CHECK((single.count("records") == 0 || single.at("records") < 0.1));
 }
 
-TEST_CASE("inner call meter, first runs of a day, are known to make calls at once")
+TEST_CASE("nested call tracker, first executions of a route, yield its call rate")
 {
-    // A day begins with gray servers, and calendar requests are sent again from the first second on. The homes had
-    // learned too little of the calls by then, so nobody paid for their repeats: 243 arrivals beyond the first of 200
-    // allowed.
-    NestedCallTracker meter;
+    // Guards against uncharged nested calls after a start with gray servers: calendar requests are retried from the
+    // first second on, before their homes have enough samples of the call rate. The repeated calls then brought the
+    // service 243 arrivals beyond the first, where 200 were allowed.
+    NestedCallTracker tracker;
     for (std::uint64_t id = 1; id <= 3; ++id) {
-        meter.begin(id, "parent", 1, start);
-        meter.arrived("inner", "records", start);
-        meter.end(id, start);
+        tracker.begin(id, "parent", 1, start);
+        tracker.arrived("inner", "records", start);
+        tracker.end(id, start);
     }
-    REQUIRE(meter.rates("parent").count("records") == 1);
-    CHECK(meter.rates("parent").at("records") > 0.8);
+    REQUIRE(tracker.rates("parent").count("records") == 1);
+    CHECK(tracker.rates("parent").at("records") > 0.8);
 }
 
-TEST_CASE("inner call meter, callers' own requests, are put down to nobody")
+TEST_CASE("nested call tracker, callers' own requests, are attributed to no work")
 {
-    NestedCallTracker meter;
+    NestedCallTracker tracker;
     for (std::uint64_t id = 1; id <= 200; ++id) {
-        meter.begin(id, "parent", 1, start);
-        meter.arrived("callers", "records", start);
-        meter.end(id, start);
-        meter.arrived("callers", "records", start);
+        tracker.begin(id, "parent", 1, start);
+        tracker.arrived("callers", "records", start);
+        tracker.end(id, start);
+        tracker.arrived("callers", "records", start);
     }
-    const CallRates &rates = meter.rates("parent");
+    const CallRates &rates = tracker.rates("parent");
     CHECK((rates.count("records") == 0 || rates.at("records") < 0.05));
 }
--- a/tests/unit/RetryBudgetTransferTest.cpp
+++ b/tests/unit/RetryBudgetTransferTest.cpp
@@ -12,23 +12,23 @@
 namespace {
 
 constexpr Millis tick{100};
-constexpr Millis filling = std::chrono::seconds(10);
+constexpr Millis warmUp = std::chrono::seconds(10);
 
-/** What a fleet's servers do to the requests for one service. */
-struct FleetLoad {
+/** The requests for one service and how often its servers fail them. */
+struct SimulatedLoad {
     std::size_t nodes = 0;
     double requestsPerTickAndNode = 0.0;
-    /** Share of the sends that have to be repeated, and for how long. */
+    /** Share of the attempts that fail, and for how long they do. */
     double failedShare = 0.0;
-    Millis lasts{0};
-    /** Sends of one request at most. */
-    int mostSends = 2;
+    Millis duration{0};
+    /** Per request, the first one included. */
+    int maxAttempts = 2;
 };
 
-struct FleetOutcome {
+struct SimulationResult {
     int requests = 0;
     int served = 0;
-    int secondSends = 0;
+    int retries = 0;
     int denied = 0;
 
     double servedShare() const
@@ -37,17 +37,17 @@
     }
 };
 
-/** A fleet in which each node spends and lends second sends for requests that come at random. */
-class FleetOfBudgets
+/** Simulates a fleet in which each node spends and transfers retry budget tokens for requests that arrive at random. */
+class RetryBudgetFleet
 {
 protected:
-    /** Plays @p load after a window without failures. */
-    FleetOutcome play(const FleetLoad &load, std::uint32_t seed)
+    /** Runs @p load after one window without failures. */
+    SimulationResult run(const SimulatedLoad &load, std::uint32_t seed)
     {
         random_.seed(seed);
         budgets_.assign(load.nodes, FleetRetryBudget(tuning()));
-        FleetOutcome out;
-        for (Millis since = -filling; since < load.lasts; since += tick) {
+        SimulationResult out;
+        for (Millis since = -warmUp; since < load.duration; since += tick) {
             const SteadyTime now = SteadyTime(std::chrono::hours(1)) + since;
             for (std::size_t node = 0; node < load.nodes; ++node) {
                 if (chance_(random_) >= load.requestsPerTickAndNode) {
@@ -62,28 +62,28 @@
         return out;
     }
 
-    static constexpr double slackOfFleet = 430.0;
+    static constexpr double fleetSlack = 430.0;
 
 private:
     static FleetRetryTuning tuning()
     {
         FleetRetryTuning out;
-        out.slack = slackOfFleet;
+        out.slack = fleetSlack;
         return out;
     }
 
-    void serve(const FleetLoad &load, std::size_t node, SteadyTime now, FleetOutcome &out)
+    void serve(const SimulatedLoad &load, std::size_t node, SteadyTime now, SimulationResult &out)
     {
         ++out.requests;
-        for (int sends = 1; chance_(random_) < load.failedShare; ++sends) {
-            if (sends >= load.mostSends) {
+        for (int attempt = 1; chance_(random_) < load.failedShare; ++attempt) {
+            if (attempt >= load.maxAttempts) {
                 return;
             }
             if (!spend(node, now)) {
                 ++out.denied;
                 return;
             }
-            ++out.secondSends;
+            ++out.retries;
         }
         ++out.served;
     }
@@ -92,16 +92,16 @@
     {
         FleetRetryBudget &own = budgets_[node];
         const auto has = [&] { return own.has(1.0, budgets_.size(), RetryReason::Failure, now); };
-        const TransferTuning borrowing;
-        double borrowed = 0.0;
-        for (std::size_t asked = 0; !has() && asked < borrowing.maxDonors; ++asked) {
-            const std::size_t lender =
+        const TransferTuning transferTuning;
+        double received = 0.0;
+        for (std::size_t requests = 0; !has() && requests < transferTuning.maxDonors; ++requests) {
+            const std::size_t donor =
                 boost::random::uniform_int_distribution<std::size_t>(0, budgets_.size() - 1)(random_);
-            if (lender != node) {
-                const double missing = 1.0 + borrowing.extraTokens - borrowed;
-                const double lent = budgets_[lender].transferOut(missing, RetryReason::Failure, budgets_.size(), now);
-                own.transferIn(lent, now);
-                borrowed += lent;
+            if (donor != node) {
+                const double missing = 1.0 + transferTuning.extraTokens - received;
+                const double granted = budgets_[donor].transferOut(missing, RetryReason::Failure, budgets_.size(), now);
+                own.transferIn(granted, now);
+                received += granted;
             }
         }
         if (has()) {
@@ -118,43 +118,45 @@
 
 } // namespace
 
-// Guards against look-ups that fail for want of a second send while the fleet has most of its bound left: the larger
-// the fleet, the smaller each node's part.
-TEST_CASE_FIXTURE(FleetOfBudgets,
-                  "second sends, a sixth of the servers gray in a fleet of any size, are there nearly always")
+// Guards against lookups that fail because their node has no retry budget left, while the fleet has used little of its
+// bound. The larger the fleet, the smaller the share of each node.
+TEST_CASE_FIXTURE(
+    RetryBudgetFleet,
+    "retry budget transfer, a sixth of the servers gray in a fleet of any size, retries are rarely denied")
 {
-    constexpr double seldom = 0.005;
-    FleetLoad load;
+    constexpr double maxDeniedShare = 0.005;
+    SimulatedLoad load;
     load.requestsPerTickAndNode = 0.15;
     load.failedShare = 0.12;
-    load.lasts = std::chrono::seconds(30);
+    load.duration = std::chrono::seconds(30);
     for (const std::size_t nodes : {24, 234, 1000}) {
         load.nodes = nodes;
         for (const std::uint32_t seed : {1U, 2U, 3U}) {
-            const FleetOutcome outcome = play(load, seed);
-            CHECK(outcome.denied < seldom * (outcome.denied + outcome.secondSends));
+            const SimulationResult outcome = run(load, seed);
+            CHECK(outcome.denied < maxDeniedShare * (outcome.denied + outcome.retries));
         }
     }
 }
 
-// Guards against second sends that are left unused, or spent past their bound, while a whole service sheds.
-TEST_CASE_FIXTURE(FleetOfBudgets, "second sends, all servers shed half for eight seconds, come near the best share")
+// Guards against a retry budget that is left unused, or exceeded, while a whole service sheds load.
+TEST_CASE_FIXTURE(RetryBudgetFleet,
+                  "retry budget transfer, all servers shed half for eight seconds, served share comes near the optimum")
 {
-    FleetLoad load;
+    SimulatedLoad load;
     load.nodes = 234;
     load.requestsPerTickAndNode = 0.33;
     load.failedShare = 0.55;
-    load.lasts = Millis(8500);
-    load.mostSends = 12;
+    load.duration = Millis(8500);
+    load.maxAttempts = 12;
     for (const std::uint32_t seed : {1U, 2U, 3U}) {
-        const FleetOutcome outcome = play(load, seed);
-        const double withoutRepeats = 1.0 - load.failedShare;
-        // All second sends of the window are spent on these requests, and as many of them are shed as of the first.
+        const SimulationResult outcome = run(load, seed);
+        const double withoutRetries = 1.0 - load.failedShare;
+        // All retries of the window are spent on these requests, and they are shed at the same rate as first attempts.
         const double requestsInWindow = 10.0 / 8.5 * outcome.requests;
-        const double allowed = FleetRetryTuning().share * requestsInWindow + slackOfFleet;
-        const double best = withoutRepeats + withoutRepeats * allowed / outcome.requests;
-        MESSAGE("served " << outcome.servedShare() << ", without repeats " << withoutRepeats << ", at best " << best);
-        CHECK(outcome.secondSends <= allowed);
-        CHECK(outcome.servedShare() > withoutRepeats + 0.6 * (best - withoutRepeats));
+        const double allowed = FleetRetryTuning().share * requestsInWindow + fleetSlack;
+        const double best = withoutRetries + withoutRetries * allowed / outcome.requests;
+        MESSAGE("served " << outcome.servedShare() << ", without retries " << withoutRetries << ", at best " << best);
+        CHECK(outcome.retries <= allowed);
+        CHECK(outcome.servedShare() > withoutRetries + 0.6 * (best - withoutRetries));
     }
 }
