--- a/tests/integration/GrayTest.cpp
+++ b/tests/integration/GrayTest.cpp
@@ -19,17 +19,17 @@
     return nlohmann::json::object();
 }
 
-/** Readers at every node until @p stop. */
-void addReaders(Fleet &fleet, std::vector<std::function<void()>> &bodies, const bool &stop,
+/** Adds clients that read through every node until @p stop is set. */
+void addReaders(Fleet &fleet, std::vector<std::function<void()>> &tasks, const bool &stop,
                 std::map<std::string, int> &seen)
 {
     for (int client = 0; client < 9; ++client) {
-        bodies.emplace_back([&, client] {
+        tasks.emplace_back([&, client] {
             int i = 0;
             while (!stop) {
                 ++i;
-                const CallResult answer = fleet.read(client % 3, std::to_string(client) + "-" + std::to_string(i));
-                ++seen[answer.outcome];
+                const CallResult result = fleet.read(client % 3, std::to_string(client) + "-" + std::to_string(i));
+                ++seen[result.outcome];
                 pause(Millis(10));
             }
         });
@@ -38,29 +38,29 @@
 
 } // namespace
 
-TEST_CASE("server, stalls while its health endpoint is well, leaves service and returns when it is well again")
+TEST_CASE("server, stalls while its health checks pass, is ejected and returns after it recovers")
 {
-    // Story: an inspector waits at the door while a server holds every lookup it gets. Its health check is fine; only
-    // the real requests show it. It must go, its requests must be answered elsewhere, and it must come back later.
+    // A server stalls every lookup that it receives while its health check passes; only real requests show the failure.
+    // It must be ejected, its requests must be answered elsewhere, and it must return to service after it recovers.
     Fleet fleet;
     bool stop = false;
     std::map<std::string, int> seen;
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(maxTasks);
-    addReaders(fleet, bodies, stop, seen);
-    bool left = false;
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(maxTasks);
+    addReaders(fleet, tasks, stop, seen);
+    bool ejected = false;
     bool returned = false;
-    bodies.emplace_back([&] {
+    tasks.emplace_back([&] {
         pause(Millis(500));
         fleet.setServerMode("s0", {{"mode", "stall"}});
-        left = eventually([&] { return serverView(fleet, 0, "s0").value("phase", "") == "ejected"; });
+        ejected = eventually([&] { return serverView(fleet, 0, "s0").value("phase", "") == "ejected"; });
         fleet.setServerMode("s0", {{"mode", "ok"}});
         returned = eventually([&] { return serverView(fleet, 0, "s0").value("phase", "") == "in-service"; },
                               std::chrono::seconds(20));
         stop = true;
     });
-    runConcurrently(bodies);
-    CHECK(left);
+    runConcurrently(tasks);
+    CHECK(ejected);
     CHECK(returned);
     CHECK(seen["ran"] > 100);
     CHECK(seen["ran"] >= 49 * (seen["unknown"] + seen["not-run"] + seen[""]));
@@ -70,37 +70,37 @@
     CHECK(output.find("suspicion=") != std::string::npos);
 }
 
-TEST_CASE("floor, more sick servers than it allows, keeps the floor in service")
+TEST_CASE("floor, more unhealthy servers than may be ejected, keeps the floor in service")
 {
-    // Story: three of six servers stall at once and the floor is five. One may go; the others must stay, because an
-    // enrolment desk with too few servers turns learners away. The system says that it kept them and why.
+    // Three of six servers stall at once, and the floor is five servers. One may be ejected. The others must stay,
+    // since a service with too few servers refuses requests. The node reports that it kept them, and why.
     FleetOptions options;
     options.floor = "5 servers";
     Fleet fleet(options);
     bool stop = false;
-    int least = 6;
+    int minInService = 6;
     std::map<std::string, int> seen;
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(maxTasks);
-    addReaders(fleet, bodies, stop, seen);
-    bodies.emplace_back([&] {
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(maxTasks);
+    addReaders(fleet, tasks, stop, seen);
+    tasks.emplace_back([&] {
         for (const char *name : {"s0", "s1", "s2"}) {
             fleet.setServerMode(name, {{"mode", "stall"}});
         }
         for (int i = 0; i < 50; ++i) {
-            least = std::min(least, fleet.inService());
+            minInService = std::min(minInService, fleet.inService());
             pause(Millis(100));
         }
         stop = true;
     });
-    runConcurrently(bodies);
-    CHECK(least >= 5);
+    runConcurrently(tasks);
+    CHECK(minInService >= 5);
 }
 
-TEST_CASE("poison request, resent through every node, ends two servers at most and is refused at once")
+TEST_CASE("poison request, retried through every node, crashes two servers at most and is refused at once")
 {
-    // Story: one certificate lookup crashes each server that runs it and its caller keeps sending it. After the second
-    // crash no server may get it; the caller is told so finally, and other callers notice nothing.
+    // One lookup crashes each server that runs it, and its caller keeps retrying it. After the second crash no server
+    // may receive it: the caller gets a final refusal, and other callers are not affected.
     Fleet fleet;
     const HttpRequest poison{"GET", "/sessions/ends-the-server", {}, {}};
     CallResult last;
@@ -108,11 +108,11 @@
         last = fleet.send(i % 3, poison);
         pause(Millis(50));
     }
-    int dead = 0;
+    int crashed = 0;
     for (const std::string &name : fleet.serverNames()) {
-        dead += fleet.server(name).running() ? 0 : 1;
+        crashed += fleet.server(name).running() ? 0 : 1;
     }
-    CHECK(dead == 2);
+    CHECK(crashed == 2);
     CHECK(last.status == 422);
     CHECK(last.reason == "request-ends-servers");
     CHECK(headerValue(last.headers, "Retry-After").empty());
@@ -121,7 +121,7 @@
     }
 }
 
-TEST_CASE("shedding server, says that it did not run the work, is not held to be sick")
+TEST_CASE("shedding server, reports that it did not run the work, is not ejected")
 {
     Fleet fleet;
     fleet.setServerMode("s0", {{"mode", "shed"}});
--- a/tests/integration/LeavingTest.cpp
+++ b/tests/integration/LeavingTest.cpp
@@ -6,10 +6,10 @@
 using namespace waxwing;
 using namespace waxwing::testing;
 
-TEST_CASE("node, planned stop under load, cuts no request and hands over its claims")
+TEST_CASE("node, graceful shutdown under load, breaks no request and hands over its claims")
 {
-    // Story: a VM is replaced in office hours. No caller may see a cut, a booking made through it must be found again
-    // through another node, and its servers must go on serving from other homes.
+    // A VM is replaced under load. No caller may see a broken connection, a booking made through this node must be
+    // found through another one, and its servers must continue to serve from other homes.
     FleetOptions options;
     options.workMs = 30;
     Fleet fleet(options);
@@ -17,22 +17,22 @@
     const std::string unused = fleet.ticket(1);
     CHECK(fleet.book(1, "before-stop", used).outcome == "ran");
     std::map<std::string, int> seen;
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(maxTasks);
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(maxTasks);
     for (int i = 0; i < 120; ++i) {
-        bodies.emplace_back([&, i] {
+        tasks.emplace_back([&, i] {
             pause(Millis(i * 10));
-            const CallResult answer = fleet.read(i % 2 == 0 ? 0 : 2, "stop-" + std::to_string(i));
-            ++seen[answer.outcome + "/" + answer.reason];
+            const CallResult result = fleet.read(i % 2 == 0 ? 0 : 2, "stop-" + std::to_string(i));
+            ++seen[result.outcome + "/" + result.reason];
         });
     }
     int code = -1;
-    bodies.emplace_back([&] {
+    tasks.emplace_back([&] {
         pause(Millis(300));
         fleet.node(1).signal(SIGTERM);
         code = fleet.node(1).waitForExit();
     });
-    runConcurrently(bodies);
+    runConcurrently(tasks);
     CHECK(code == 0);
     for (const auto &one : seen) {
         const std::string &outcome = one.first;
@@ -47,43 +47,43 @@
     CHECK(eventually([&] { return fleet.inService() == 6; }));
 }
 
-TEST_CASE("server, draining, gets no new work within two seconds and finishes its own")
+TEST_CASE("server, draining, stops receiving work within two seconds and finishes its own")
 {
     FleetOptions options;
     options.workMs = 20;
     Fleet fleet(options);
     bool stop = false;
     std::map<std::string, int> seen;
-    std::vector<std::function<void()>> bodies;
-    bodies.reserve(maxTasks);
+    std::vector<std::function<void()>> tasks;
+    tasks.reserve(maxTasks);
     for (int client = 0; client < 6; ++client) {
-        bodies.emplace_back([&, client] {
+        tasks.emplace_back([&, client] {
             int i = 0;
             while (!stop) {
                 ++i;
-                const CallResult answer =
+                const CallResult result =
                     fleet.read(client % 3, "drain-" + std::to_string(client) + "-" + std::to_string(i));
-                ++seen[answer.outcome + "/" + answer.reason];
+                ++seen[result.outcome + "/" + result.reason];
             }
         });
     }
     int code = -1;
-    bodies.emplace_back([&] {
+    tasks.emplace_back([&] {
         pause(Millis(400));
         fleet.server("s0").signal(SIGTERM);
         code = fleet.server("s0").waitForExit();
         pause(Millis(500));
         stop = true;
     });
-    runConcurrently(bodies);
+    runConcurrently(tasks);
     CHECK(code == 0);
     CHECK(seen.size() == 1);
     CHECK(seen.count("ran/") == 1);
 }
 
-TEST_CASE("server, frozen so that its announcements stop, gets no new work after two seconds")
+TEST_CASE("server, suspended so that its announcements stop, receives no new work after two seconds")
 {
-    // Story: a VM is taken away without warning. Its home must not wait for anything but the silence.
+    // A VM disappears without warning. The missing announcements alone must make its home stop using the server.
     Fleet fleet;
     fleet.server("s0").signal(SIGSTOP);
     pause(Millis(2300));
@@ -94,9 +94,9 @@
         }
     }
     for (int i = 0; i < 20; ++i) {
-        const CallResult answer = fleet.read(0, "frozen-" + std::to_string(i));
-        CHECK(answer.outcome == "ran");
-        CHECK(answer.body.find("\"server\":\"s0\"") == std::string::npos);
+        const CallResult result = fleet.read(0, "frozen-" + std::to_string(i));
+        CHECK(result.outcome == "ran");
+        CHECK(result.body.find("\"server\":\"s0\"") == std::string::npos);
     }
     fleet.server("s0").signal(SIGCONT);
 }
--- a/tests/integration/RepeatTest.cpp
+++ b/tests/integration/RepeatTest.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** One server for the look-ups, so that a repeat finds no other home. */
-class OnlyHome
+/** A mesh with one server for the lookups, so that a retry finds no other home. */
+class SingleHome
 {
 protected:
-    OnlyHome()
+    SingleHome()
         : mesh_(options())
     { }
 
@@ -25,7 +25,7 @@
         return out;
     }
 
-    int repeatsAllowed() const
+    int allowedRetries() const
     {
         return mesh_.countLogLines(0, {"event=second_send", "allowed=yes"});
     }
@@ -35,24 +35,24 @@
 
 } // namespace
 
-// Guards against a failed look-up that spends the fleet's budget of second sends though no other home can take it.
-TEST_CASE_FIXTURE(OnlyHome, "repeat, look-up that fails at the only home, asks for one second send at most")
+// Guards against a failed lookup that uses up the fleet's retry budget although no other home can accept it.
+TEST_CASE_FIXTURE(SingleHome, "retry, lookup fails at the only home, is allowed once at most")
 {
     mesh_.setServerMode(1, {{"mode", "unsigned"}, {"workMs", 20}});
-    const auto answer = mesh_.send(0, "fails", "/dates/1");
-    REQUIRE(answer);
-    CHECK(answer->status == 502);
+    const auto response = mesh_.send(0, "fails", "/dates/1");
+    REQUIRE(response);
+    CHECK(response->status == 502);
     REQUIRE(eventually([&] { return mesh_.countLogLines(0, {"event=answered", "request=fails"}) == 1; }));
-    CHECK(repeatsAllowed() <= 1);
+    CHECK(allowedRetries() <= 1);
 }
 
-// Guards against an answer that is ready at a home and never fetched, since the home could not be asked at first.
-TEST_CASE_FIXTURE(OnlyHome, "repeat, answer held up by a cut that heals in time, reaches the caller")
+// Guards against a reply that is ready at a home but never fetched, because the first queries did not reach the home.
+TEST_CASE_FIXTURE(SingleHome, "retry, reply held back by a path failure that heals in time, reaches the caller")
 {
     unsigned status = 0;
     runConcurrently({[&] {
-                         const auto answer = mesh_.send(0, "held-up", "/dates/1");
-                         status = answer ? answer->status : 0;
+                         const auto response = mesh_.send(0, "held-up", "/dates/1");
+                         status = response ? response->status : 0;
                      },
                      [&] {
                          pause(Millis(150));
