--- a/tests/support/Mesh.cpp
+++ b/tests/support/Mesh.cpp
@@ -23,12 +23,12 @@
 using nlohmann::json;
 namespace names = platform::names;
 
-constexpr Millis controlTimeout{2000};
+constexpr Millis requestTimeout{2000};
 
-void require(bool done, const std::string &what)
+void require(bool done, const std::string &error)
 {
     if (!done) {
-        throw std::runtime_error("test mesh: " + what);
+        throw std::runtime_error("test mesh: " + error);
     }
 }
 
@@ -43,9 +43,9 @@
                     {"match", {{"path_prefix", prefix}}},
                     {"action", {{"service", to}, {"timeout_ms", timeoutMs}, {"max_attempts", 2}}}};
     };
-    json spare = json::array();
+    json spareRules = json::array();
     for (int i = 0; i < spareRoutes; ++i) {
-        spare.push_back(rule("spare" + std::to_string(i), "safe", "/spare" + std::to_string(i) + "/", "desk"));
+        spareRules.push_back(rule("spare" + std::to_string(i), "safe", "/spare" + std::to_string(i) + "/", "desk"));
     }
     return {{"version", "r" + std::to_string(version)},
             {"limits",
@@ -56,7 +56,7 @@
             {"listeners", json::array({{{"host", "desk.example"},
                                         {"rules", json::array({rule("browse", "safe", "/dates/", "desk"),
                                                                rule("book", "unsafe", "/seats/", service)})}},
-                                       {{"host", "spare.example"}, {"rules", spare}}})},
+                                       {{"host", "spare.example"}, {"rules", spareRules}}})},
             {"clusters", json::array()}};
 }
 
@@ -66,7 +66,7 @@
     : options_(std::move(options))
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "waxwing-mesh-XXXXXX").string();
-    require(mkdtemp(pattern.data()) != nullptr, "a directory");
+    require(mkdtemp(pattern.data()) != nullptr, "cannot create a temporary directory");
     directory_ = pattern;
     storeProcess_ = std::make_unique<Process>("tests/standins/standin-objectapi", std::vector<std::string>{},
                                               directory_ + "/store.log");
@@ -91,7 +91,7 @@
         startNode(static_cast<int>(i));
         startServer(static_cast<int>(i));
     }
-    require(eventually([this] { return allServing(); }, std::chrono::seconds(20)), "every node serves");
+    require(eventually([this] { return allServing(); }, std::chrono::seconds(20)), "not every node serves in time");
 }
 
 Mesh::~Mesh()
@@ -164,22 +164,22 @@
 {
     const HttpRequest request{"POST", "/_mode", {}, mode.dump()};
     require(
-        loopClient().exchange(members_.at(static_cast<std::size_t>(index)).app, request, controlTimeout).has_value(),
-        "server mode");
+        loopClient().exchange(members_.at(static_cast<std::size_t>(index)).app, request, requestTimeout).has_value(),
+        "cannot set the server mode");
 }
 
 void Mesh::setStoreFault(const json &fault)
 {
-    require(loopClient().exchange(store_, HttpRequest{"POST", "/_fault", {}, fault.dump()}, controlTimeout).has_value(),
-            "store fault");
+    require(loopClient().exchange(store_, HttpRequest{"POST", "/_fault", {}, fault.dump()}, requestTimeout).has_value(),
+            "cannot set the store fault");
 }
 
 void Mesh::setLinkFault(int index, const json &fault)
 {
     const Endpoint &control = members_.at(static_cast<std::size_t>(index)).proxyControl;
     require(
-        loopClient().exchange(control, HttpRequest{"POST", "/_fault", {}, fault.dump()}, controlTimeout).has_value(),
-        "link fault");
+        loopClient().exchange(control, HttpRequest{"POST", "/_fault", {}, fault.dump()}, requestTimeout).has_value(),
+        "cannot set the link fault");
 }
 
 void Mesh::configure(std::uint64_t version, const std::string &service)
@@ -188,31 +188,31 @@
         ObjectApi(loopClient(), store_)
             .update(names::configKind, names::configName, configRevision_,
                     configDocument(version, service, options_.timeoutMs, options_.spareRoutes).dump());
-    require(result.kind == UpdateResult::Kind::Stored, "configuration stored");
+    require(result.kind == UpdateResult::Kind::Stored, "configuration not stored");
     configRevision_ = result.version;
 }
 
 tl::expected<HttpResponse, ExchangeError> Mesh::send(int node, const std::string &id, const std::string &path,
                                                      Millis timeout)
 {
-    const bool books = path.compare(0, 7, "/seats/") == 0;
+    const bool isBooking = path.compare(0, 7, "/seats/") == 0;
     const HttpRequest request{
-        books ? "POST" : "GET",
+        isBooking ? "POST" : "GET",
         path,
         {{"Host", "desk.example"}, {names::requestId, id}, {names::timeoutMs, std::to_string(timeout.count())}},
-        books ? "seat" : ""};
+        isBooking ? "seat" : ""};
     return loopClient().exchange(members_.at(static_cast<std::size_t>(node)).callers, request,
-                                 timeout + controlTimeout);
+                                 timeout + requestTimeout);
 }
 
-std::string Mesh::sendRaw(int node, const std::string &bytes, Millis allowed)
+std::string Mesh::sendRaw(int node, const std::string &bytes, Millis timeout)
 {
     boost::asio::ip::tcp::socket socket(loopContext());
     const Endpoint &to = members_.at(static_cast<std::size_t>(node)).callers;
     boost::system::error_code error;
     socket.connect({boost::asio::ip::make_address(to.address), to.port}, error);
     std::string out;
-    boost::asio::steady_timer timer(loopContext(), allowed);
+    boost::asio::steady_timer timer(loopContext(), timeout);
     timer.async_wait([&socket](boost::system::error_code cancelled) {
         if (!cancelled) {
             socket.cancel();
@@ -231,9 +231,9 @@
 
 bool Mesh::isReady(int node)
 {
-    const auto answer = loopClient().exchange(members_.at(static_cast<std::size_t>(node)).readiness,
-                                              HttpRequest{"GET", names::readiness, {}, {}}, controlTimeout);
-    return answer && answer->status == 200;
+    const auto response = loopClient().exchange(members_.at(static_cast<std::size_t>(node)).readiness,
+                                                HttpRequest{"GET", names::readiness, {}, {}}, requestTimeout);
+    return response && response->status == 200;
 }
 
 std::map<std::string, int> Mesh::executions() const
@@ -259,7 +259,7 @@
     entry.service = "desk";
     const UpdateResult result =
         ObjectApi(loopClient(), store_).update(platform::registryKind, node, 0, platform::encodeRegistryEntry(entry));
-    require(result.kind == UpdateResult::Kind::Stored, "entry stored");
+    require(result.kind == UpdateResult::Kind::Stored, "registry entry not stored");
 }
 
 void Mesh::removeRegistryEntry(const std::string &node)
@@ -270,20 +270,21 @@
         entry = api.read(platform::registryKind, node);
         return entry && *entry;
     };
-    require(eventually(isThere), "entry to remove");
+    require(eventually(isThere), "no registry entry to remove");
     const UpdateResult result = api.remove(platform::registryKind, node, (*entry)->version);
-    require(result.kind == UpdateResult::Kind::Stored, "entry removed");
+    require(result.kind == UpdateResult::Kind::Stored, "registry entry not removed");
 }
 
-int Mesh::countLogLines(int node, const std::vector<std::string> &words) const
+int Mesh::countLogLines(int node, const std::vector<std::string> &texts) const
 {
     std::ifstream text(members_.at(static_cast<std::size_t>(node)).logs.back());
     int count = 0;
     std::string line;
     while (std::getline(text, line)) {
-        const bool all = std::all_of(words.begin(), words.end(),
-                                     [&line](const std::string &word) { return line.find(word) != std::string::npos; });
-        count += all ? 1 : 0;
+        const bool containsAll = std::all_of(texts.begin(), texts.end(), [&line](const std::string &part) {
+            return line.find(part) != std::string::npos;
+        });
+        count += containsAll ? 1 : 0;
     }
     return count;
 }
@@ -301,8 +302,8 @@
 {
     static int number = 0;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-        const auto answer = send(static_cast<int>(i), "settle-" + std::to_string(++number), "/dates/1");
-        if (!answer || answer->status != 200 || !hasAllNodes(static_cast<int>(i))) {
+        const auto response = send(static_cast<int>(i), "settle-" + std::to_string(++number), "/dates/1");
+        if (!response || response->status != 200 || !hasAllNodes(static_cast<int>(i))) {
             return false;
         }
     }
@@ -316,7 +317,7 @@
     if (members_.size() == 1 || text.find(all) != std::string::npos) {
         return true;
     }
-    // The last node to write its entry completes the list by that; no change of the roster is logged for it.
+    // The last node to write its entry completes the registry with it, and logs no registry change for that.
     const std::size_t written = text.find("event=roster_entry_written");
     const std::string others = "nodes=" + std::to_string(members_.size() - 1);
     return written != std::string::npos && text.rfind(others, written) != std::string::npos;
--- a/tests/support/Mesh.h
+++ b/tests/support/Mesh.h
@@ -9,25 +9,25 @@
 
 namespace waxwing::testing {
 
-/** What a test of the platform's path wants running: nodes with one backend server each, all of one region. */
+/** Configuration of a Mesh: nodes of one region with one backend server each. */
 struct MeshOptions {
     /** The service of each node's server. */
     std::vector<std::string> services = {"desk", "desk", "desk"};
-    /** Nodes' links are reached through a fault proxy each. */
+    /** Each node's links are reached through a fault proxy. */
     bool proxies = false;
     int workMs = 20;
-    /** The routes' timeout, and the time from SIGTERM to the end. */
+    /** Timeout of the routes, and time from SIGTERM to the exit. */
     int timeoutMs = 3000;
     int graceSeconds = 5;
-    /** Second sends that the fleet may make beyond its share of the requests. */
+    /** Retries that the fleet may make beyond its share of the requests. */
     int budgetSlack = 60;
-    /** Routes that no test asks for, to make the configuration large. */
+    /** Unused routes that make the configuration large. */
     int spareRoutes = 0;
-    /** Nodes begin with the other build; see nodeProgram(). */
+    /** Nodes start with the other build; see nodeProgram(). */
     bool upgrade = false;
 };
 
-/** Real processes on loopback in the platform's shape: store stand-in, and beside each node its one server. */
+/** Real processes on loopback in the platform's layout: a store stand-in, and nodes with one server each. */
 class Mesh
 {
 public:
@@ -42,29 +42,29 @@
     Process &server(int index);
     void setServerMode(int index, const nlohmann::json &mode);
     void setStoreFault(const nlohmann::json &fault);
-    /** Faults on the way of other nodes to this one's links. @pre MeshOptions::proxies. */
+    /** Sets a fault on the path from other nodes to the links of this one. @pre MeshOptions::proxies. */
     void setLinkFault(int index, const nlohmann::json &fault);
-    /** Writes the configuration; @p service takes the bookings and @p version orders it. */
+    /** Writes the configuration with revision @p version. @p service handles the bookings. */
     void configure(std::uint64_t version, const std::string &service = "desk");
 
     /** Sends a request to a node's callers' port: "/dates/" is idempotent, "/seats/" is not. */
     tl::expected<HttpResponse, ExchangeError> send(int node, const std::string &id, const std::string &path,
                                                    Millis timeout = std::chrono::seconds(3));
-    /** Sends bytes as they are and returns all that comes back until the node closes or falls silent. */
-    std::string sendRaw(int node, const std::string &bytes, Millis allowed = std::chrono::milliseconds(1500));
-    /** True if the node says that it takes callers. */
+    /** Sends @p bytes unchanged; returns all bytes received until the connection closes or @p timeout has passed. */
+    std::string sendRaw(int node, const std::string &bytes, Millis timeout = std::chrono::milliseconds(1500));
+    /** Returns true if the node's readiness check succeeds. */
     bool isReady(int node);
-    /** How often each request id was executed. */
+    /** Returns how often each request id was executed. */
     std::map<std::string, int> executions() const;
-    /** Writes an entry of a node that does not run into the roster. */
+    /** Writes an entry for a node that does not run to the registry. */
     void addRegistryEntry(const std::string &node);
-    /** Removes a node's entry from the roster; a node that runs writes it again. */
+    /** Removes a node's entry from the registry; a running node writes it again. */
     void removeRegistryEntry(const std::string &node);
-    /** How many lines of the node's log since its last start contain every one of @p words. */
-    int countLogLines(int node, const std::vector<std::string> &words) const;
-    /** A node's log. */
+    /** Returns how many lines of the node's log since its last start contain all of @p texts. */
+    int countLogLines(int node, const std::vector<std::string> &texts) const;
+    /** Returns the node's log over all its starts. */
     std::string log(int node) const;
-    /** Sends idempotent requests until every node has been served by another one's server. */
+    /** Sends an idempotent request to each node; true if all are served and all nodes have the full registry. */
     bool allServing();
 
 private:
@@ -84,7 +84,7 @@
     };
 
     std::string settingsFile(int index);
-    /** By its log: the node's roster has held every member. */
+    /** Returns true if the node's log shows that its registry has held every member. */
     bool hasAllNodes(int node) const;
 
     MeshOptions options_;
