--- a/tests/standins/sidecarserver.cpp
+++ b/tests/standins/sidecarserver.cpp
@@ -1,6 +1,7 @@
 /**
- * Stand-in for a backend server on the users' platform: heartbeats to the node beside it, works in slots, signs its
- * answers, keeps a ledger of every execution, and on demand fails gray, answers twice or without a length.
+ * Stand-in for a backend server on the platform: sends heartbeats to the node beside it, runs requests in slots, signs
+ * its responses, and records every execution in a ledger. On demand it fails gray, cuts or resets its responses, leaves
+ * out the signature, or names another request in them.
  */
 #include "platform/Names.h"
 #include "src/http/HttpClient.h"
@@ -63,7 +64,7 @@
         }
     }
 
-    /** Drains as the platform has it: says so, serves on for a while, says farewell. */
+    /** Drains as the platform requires: announces it, serves for a while longer, then deregisters. */
     void stop()
     {
         stopping_ = true;
@@ -104,7 +105,7 @@
         const std::string id(headerValue(request.headers, names::requestId));
         ledger_ << id << " " << headerValue(request.headers, names::callerService) << "\n" << std::flush;
         const std::string mode = mode_.is_object() ? mode_.value("mode", "ok") : "ok";
-        const Millis length(mode_.is_object() ? mode_.value("workMs", options_.work.count()) : options_.work.count());
+        const Millis workTime(mode_.is_object() ? mode_.value("workMs", options_.work.count()) : options_.work.count());
         if (mode_.is_object() && mode_.value("onlyFirst", false)) {
             mode_ = json();
         }
@@ -112,7 +113,7 @@
         reply.response.headers.emplace_back(names::signature, "seal-" + options_.id);
         reply.response.headers.emplace_back(names::requestId, id);
         if (request.target.find(poisonMarker) != std::string::npos) {
-            // A process that ends closes its sockets one after the other: the connection first, then the listener.
+            // A crashing process closes its sockets one after the other: the connection first, then the listener.
             spawnFiber([this] {
                 sleepFor(ioContext_, crashDelay);
                 std::_Exit(9);
@@ -125,7 +126,7 @@
             return reply;
         }
         ++running_;
-        boost::asio::steady_timer timer(ioContext_, length);
+        boost::asio::steady_timer timer(ioContext_, workTime);
         caller->onDisconnect = [&timer] { timer.cancel(); };
         await([&](auto handle) { timer.async_wait(std::move(handle)); });
         caller->onDisconnect = {};
@@ -159,7 +160,7 @@
 int main(int argc, char **argv)
 {
     namespace po = boost::program_options;
-    po::options_description options("stand-in for a backend server on the users' platform");
+    po::options_description options("stand-in for a backend server on the platform");
     // clang-format off
     options.add_options()
         ("service", po::value<std::string>()->required(), "service name")
