--- a/tools/losses.cpp
+++ b/tools/losses.cpp
@@ -1,6 +1,6 @@
 /**
- * Reads the output of a play with the logs of all nodes and prints where requests were lost, as Markdown tables:
- * waxwing-losses [PLAY...]; standard input if no file is named.
+ * Summarizes the logs of all nodes from the output of a run and prints the causes of lost requests as Markdown tables:
+ * waxwing-losses [FILE...]; reads standard input if no file is given.
  */
 #include <algorithm>
 #include <fstream>
@@ -26,7 +26,7 @@
     }
 };
 
-/** Nothing if @p text is no log line, such as a line of the play's own report. */
+/** Returns nullopt if @p text is not a log line, such as a line of the run's own report. */
 std::optional<LogLine> parse(const std::string &text)
 {
     std::istringstream in(text);
@@ -34,12 +34,12 @@
     if (!(in >> line.at >> line.node)) {
         return std::nullopt;
     }
-    std::string word;
-    while (in >> word) {
-        const std::size_t sign = word.find('=');
-        if (sign != std::string::npos) {
-            const std::string value = word.substr(sign + 1);
-            line.fields[word.substr(0, sign)] = value == "\"\"" ? "" : value;
+    std::string token;
+    while (in >> token) {
+        const std::size_t separator = token.find('=');
+        if (separator != std::string::npos) {
+            const std::string value = token.substr(separator + 1);
+            line.fields[token.substr(0, separator)] = value == "\"\"" ? "" : value;
         }
     }
     return line.fields.count("event") != 0 ? std::optional<LogLine>(line) : std::nullopt;
@@ -67,7 +67,7 @@
         } else if (event == "watch_role") {
             ++roles_[line.field("role")];
         } else if (event == "node_stopping") {
-            ++stops_["told to stop"];
+            ++stops_["stop requested"];
         } else if (event == "node_stopped") {
             ++stops_["stopped, cleanly: " + line.field("cleanly")];
         }
@@ -76,11 +76,11 @@
 
     void print() const
     {
-        table("How callers were answered", answers_);
-        table("Failures at servers, by the time since the same server's failure before", failures_);
-        table("Second sends asked for", secondSends_);
-        table("Calls on the store", storeCalls_);
-        table("Nodes that took a role towards the store", roles_);
+        table("Responses to callers", answers_);
+        table("Server failures, by time since the previous failure of the same server", failures_);
+        table("Retries and hedges requested", secondSends_);
+        table("Store calls", storeCalls_);
+        table("Nodes by role in watching the store", roles_);
         table("Stops", stops_);
         table("Log lines", lines_);
     }
@@ -100,8 +100,8 @@
         if (!failed) {
             return;
         }
-        const auto before = lastFailure_.find(line.node);
-        ++failures_[before == lastFailure_.end() ? "first" : spanOf(line.at - before->second)];
+        const auto previous = lastFailure_.find(line.node);
+        ++failures_[previous == lastFailure_.end() ? "first" : spanOf(line.at - previous->second)];
         lastFailure_[line.node] = line.at;
     }
 
