--- a/src/sidecar/Forwarder.h
+++ b/src/sidecar/Forwarder.h
@@ -117,14 +117,14 @@
     SteadyTime hedgeTime(const Run &run) const;
     /** Returns the retry budget tokens that one more attempt costs, by service, nested calls included. */
     CallRates retryCostOf(const Run &run) const;
-    /** Returns the reason to charge a retry after a failure to. */
+    /** Returns the reason under which a retry after a failure is accounted. */
     RetryReason retryReasonOf(const Run &run) const;
     /** Returns true if the request can be retried when the next attempt fails. */
     bool canRetry(const Run &run) const;
     /** Returns the latest time at which the request may still be started here; max() unless the node stops. */
     SteadyTime latestStart(const Run &run) const;
     void cancelQueued(Run &run);
-    /** Takes tokens for one more attempt from the retry budget; false if it must not be made. */
+    /** Takes the tokens for one more attempt from the retry budget. Returns false if the attempt must not be made. */
     bool reserveRetry(Run &run, RetryReason reason, const char *why);
     void updateStats(const std::string &route, const WorkReply &reply);
     ForwardResult finish(const RunPtr &run, const WorkReply &reply);
--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -71,8 +71,7 @@
     void noteArrival(const std::string &route, const std::string &service);
     /** Records that the home on another node classifies requests of @p route as nested calls. */
     void noteNestedCall(const std::string &route);
-    /** Returns true if requests of @p route from this VM are classified as nested calls of the server beside this node.
-     */
+    /** Returns true if requests of @p route from this VM are classified as nested calls of the server here. */
     bool isNestedCall(const std::string &route) const;
     /** Returns the rank of the most urgent running work that may call @p service; nullopt if none is known to. */
     std::optional<int> callerRank(const std::string &service) const;
--- a/src/sidecar/RetryBudgetService.h
+++ b/src/sidecar/RetryBudgetService.h
@@ -31,7 +31,7 @@
     /** Records that a request of @p rank (0 is the most urgent) for @p service was not retried for lack of tokens. */
     void noteDenied(const std::string &service, int rank);
     /**
-     * Returns the reason to charge a retry to after a failure of a request of @p rank for @p service. If more urgent
+     * Returns the reason under which a retry of a failed request of @p rank for @p service is accounted. If more urgent
      * requests were recently denied a retry, less urgent ones get LowPriorityFailure, which reserves part of the budget
      * for the urgent ones. Without this, lookups used up the budget while a whole service shed load, and bookings that
      * had not run were refused.
@@ -63,7 +63,7 @@
     void debit(const CallRates &tokens);
     /** Asks nodes of this region for transfers, one after the other, until @p tokens of @p service are available. */
     void requestTransfers(const std::string &service, double tokens, RetryReason reason);
-    /** Returns the number of tokens that @p donor transferred; 0 on timeout. */
+    /** Returns the number of tokens that @p donor transferred; 0 if it can't be reached or does not reply in time. */
     double requestTransfer(const RegistryEntry &donor, const std::string &service, double tokens, RetryReason reason);
     std::vector<RegistryEntry> transferCandidates() const;
     FleetRetryBudget &budgetOf(const std::string &service);
--- a/tests/integration/SidecarTest.cpp
+++ b/tests/integration/SidecarTest.cpp
@@ -333,17 +333,17 @@
         return "GET /dates/1 HTTP/1.1\r\nHost: desk.example\r\n" + std::string(names::requestId) + ": " + name + "\r\n"
                + names::timeoutMs + ": 9000\r\n\r\n";
     };
-    std::string answers;
+    std::string responses;
     std::vector<std::function<void()>> tasks = {
-        [&] { answers = mesh.sendRaw(0, lookup("slow-one") + lookup("ready-one"), std::chrono::seconds(8)); },
+        [&] { responses = mesh.sendRaw(0, lookup("slow-one") + lookup("ready-one"), std::chrono::seconds(8)); },
         [&] {
             REQUIRE(eventually([&] { return mesh.executions()["slow-one"] == 1; }));
             mesh.node(0).signal(SIGTERM);
         }};
     mesh.setServerMode(1, {{"workMs", 6000}, {"onlyFirst", true}});
     runConcurrently(tasks);
-    CHECK(answers.find("HTTP/1.1 50") < answers.find("whole answer to ready-one"));
-    CHECK(answers.find("whole answer to ready-one") != std::string::npos);
+    CHECK(responses.find("HTTP/1.1 50") < responses.find("whole answer to ready-one"));
+    CHECK(responses.find("whole answer to ready-one") != std::string::npos);
 }
 
 TEST_CASE("mesh, lookup that crashes every server, is sent to no third one")
--- a/tests/unit/FleetRetryBudgetTest.cpp
+++ b/tests/unit/FleetRetryBudgetTest.cpp
@@ -266,8 +266,8 @@
 TEST_CASE("nested call tracker, calls concurrent with other work, are attributed to the route that makes them")
 {
     // Guards against nested calls that are not charged to the retry budget. A retried calendar request repeats its two
-    // calls to the records service. These were 117 of 224 repeats in ten seconds and exceeded the service's bound,
-    // while each node stayed within its own share.
+    // calls to the records service. These were 117 of 224 repeated requests in ten seconds and exceeded the service's
+    // bound, while each node stayed within its own share.
     NestedCallTracker tracker;
     trainTracker(tracker, 300);
     REQUIRE(tracker.rates("parent").count("records") == 1);
--- a/tools/losses.cpp
+++ b/tools/losses.cpp
@@ -54,9 +54,9 @@
     {
         const std::string event = line.field("event");
         if (event == "answered") {
-            addAnswer(line);
+            addResponse(line);
         } else if (event == "refused") {
-            ++answers_[line.field("status") + " " + line.field("reason")];
+            ++responses_[line.field("status") + " " + line.field("reason")];
         } else if (event == "home_done") {
             addWork(line);
         } else if (event == "second_send") {
@@ -76,7 +76,7 @@
 
     void print() const
     {
-        table("Responses to callers", answers_);
+        table("Responses to callers", responses_);
         table("Server failures, by time since the previous failure of the same server", failures_);
         table("Retries and hedges requested", secondSends_);
         table("Store calls", storeCalls_);
@@ -86,11 +86,11 @@
     }
 
 private:
-    void addAnswer(const LogLine &line)
+    void addResponse(const LogLine &line)
     {
         const std::string status = line.field("status");
         const std::string reason = line.field("reason");
-        ++answers_[status + (reason.empty() ? "" : " " + reason) + ", " + line.field("outcome")];
+        ++responses_[status + (reason.empty() ? "" : " " + reason) + ", " + line.field("outcome")];
     }
 
     void addWork(const LogLine &line)
@@ -132,7 +132,7 @@
         }
     }
 
-    Counts answers_;
+    Counts responses_;
     Counts failures_;
     Counts secondSends_;
     Counts storeCalls_;
