--- a/include/limit/FleetRetryBudget.h
+++ b/include/limit/FleetRetryBudget.h
@@ -67,7 +67,7 @@
      * Uses @p tokens. A retry whose run makes nested calls also uses their mean number in the budget of the called
      * service.
      */
-    void take(double tokens, SteadyTime now);
+    void spend(double tokens, SteadyTime now);
     /** Returns tokens that were taken for sends that did not happen. */
     void refund(double tokens, SteadyTime now);
     /**
--- a/src/limit/FleetRetryBudget.cpp
+++ b/src/limit/FleetRetryBudget.cpp
@@ -60,7 +60,7 @@
     return tokens <= std::max(0.0, remaining(nodes, reason, now)) + transferredTokens(now);
 }
 
-void FleetRetryBudget::take(double tokens, SteadyTime now)
+void FleetRetryBudget::spend(double tokens, SteadyTime now)
 {
     while (!transfers_.empty() && now >= transfers_.front().expiresAt) {
         transfers_.pop_front();
--- a/src/sidecar/LocalHome.cpp
+++ b/src/sidecar/LocalHome.cpp
@@ -358,13 +358,13 @@
         return;
     }
     WorkReply &reply = job.reply;
-    switch (platform::classifyAnswer(*response)) {
-    case platform::ServerAnswer::Answer:
+    switch (platform::classifyResponse(*response)) {
+    case platform::ServerResponse::Answer:
         queue_.addResult(job.work.route, false, processingTime, now);
         reply.outcome = Outcome::Ran;
         reply.response = *response;
         break;
-    case platform::ServerAnswer::Failure:
+    case platform::ServerResponse::Failure:
         if (!job.callFailed) {
             queue_.addResult(job.work.route, true, processingTime, now);
         }
@@ -372,18 +372,18 @@
         reply.serverFault = true;
         reply.response = *response;
         break;
-    case platform::ServerAnswer::NotRun:
+    case platform::ServerResponse::NotRun:
         queue_.noteShed(now);
         reply.outcome = Outcome::NotRun;
         reply.reason = "server-shed";
         break;
-    case platform::ServerAnswer::OtherServer:
+    case platform::ServerResponse::OtherServer:
         reply.outcome = Outcome::NotRun;
         reply.reason = "other-server";
         server_.noteReplaced();
         serverChanged(ServerChange::Stopped, "another server answers at its address");
         break;
-    case platform::ServerAnswer::Unusable:
+    case platform::ServerResponse::Unusable:
         queue_.addResult(job.work.route, true, processingTime, now);
         reply.outcome = Outcome::Unknown;
         reply.serverFault = true;
@@ -530,7 +530,7 @@
     return queue_.load(priority, core_.clock.now());
 }
 
-std::size_t LocalHome::busy() const
+std::size_t LocalHome::inProgressCount() const
 {
     return queue_.running() + queue_.waiting();
 }
--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -66,7 +66,7 @@
     /** Returns the load that a request of @p priority meets here. */
     HomeLoad load(int priority) const;
     /** Returns the number of works queued or running here. */
-    std::size_t busy() const;
+    std::size_t inProgressCount() const;
     /** Records a request of @p route for @p service from this VM: from a caller, or from the server itself. */
     void noteArrival(const std::string &route, const std::string &service);
     /** Records that the home on another node classifies requests of @p route as nested calls. */
--- a/src/sidecar/PathMonitor.cpp
+++ b/src/sidecar/PathMonitor.cpp
@@ -41,7 +41,7 @@
     estimators_[node].add(sample);
 }
 
-Duration PathMonitor::answerTimeout(const RegistryEntry &home) const
+Duration PathMonitor::replyTimeout(const RegistryEntry &home) const
 {
     const Duration minTimeout = home.region == core_.settings.region ? minTimeoutSameRegion : minTimeoutOtherRegion;
     const auto found = estimators_.find(home.id);
@@ -59,7 +59,7 @@
         const RegistryEntryPtr found = core_.service<RegistrySync>("registry").registry().find(node);
         // A late ack on a busy path looks like a cut. When each such error was sent to the region, all its nodes
         // checked their paths, which made them busier still.
-        if (found != nullptr && answersOnLink(*found)) {
+        if (found != nullptr && repliesOnLink(*found)) {
             notePathRecovered(node, true);
         } else {
             core_.events.write(Severity::Warning, "path_failed", {{"home", node}});
@@ -109,13 +109,13 @@
     lastCheckedAt_[node] = now;
     spawnFiber([this, node, entry = *found] {
         const bool hasLink = core_.service<PeerHub>("peers").openLinkAt(entry.links).has_value();
-        if (hasLink && !answersOnLink(entry)) {
+        if (hasLink && !repliesOnLink(entry)) {
             noteFailure(node);
         }
     });
 }
 
-bool PathMonitor::answersOnLink(const RegistryEntry &entry)
+bool PathMonitor::repliesOnLink(const RegistryEntry &entry)
 {
     PeerHub &peers = core_.service<PeerHub>("peers");
     const std::optional<LinkId> link = peers.openLinkAt(entry.links);
@@ -124,14 +124,14 @@
         return false;
     }
     const SteadyTime sentAt = core_.clock.now();
-    const bool answers = peers.ping(*peer, entry.links, answerTimeout(entry)).has_value();
+    const bool answers = peers.ping(*peer, entry.links, replyTimeout(entry)).has_value();
     if (answers) {
         noteRoundTrip(entry.id, core_.clock.now() - sentAt);
     }
     return answers;
 }
 
-bool PathMonitor::answersOnNewLink(const RegistryEntry &entry)
+bool PathMonitor::repliesOnNewLink(const RegistryEntry &entry)
 {
     PeerHub &peers = core_.service<PeerHub>("peers");
     const Expected<LinkId> link = peers.linkAt(entry.links, probeTimeout, true);
@@ -153,7 +153,7 @@
             estimators_.erase(node);
             return;
         }
-        if (answersOnNewLink(*entry)) {
+        if (repliesOnNewLink(*entry)) {
             notePathRecovered(node, false);
             return;
         }
--- a/src/sidecar/PathMonitor.h
+++ b/src/sidecar/PathMonitor.h
@@ -35,7 +35,7 @@
     /** Records the round trip time of a response from @p node. */
     void noteRoundTrip(const std::string &node, Duration sample);
     /** Returns how long a response that needs no work may take on the path to @p home. */
-    Duration answerTimeout(const RegistryEntry &home) const;
+    Duration replyTimeout(const RegistryEntry &home) const;
     /** Records that no ack came from @p node in time, or that no link to it opens. */
     void noteFailure(const std::string &node);
     /** Handles a notification that a node is silent. Ignores nodes that are not in the registry. */
@@ -46,8 +46,8 @@
     /** Probes until the path recovers. @pre called from a fiber. */
     void probeUntilRecovered(const std::string &node);
     /** True if the node answers on the open link. @pre called from a fiber. */
-    bool answersOnLink(const RegistryEntry &entry);
-    bool answersOnNewLink(const RegistryEntry &entry);
+    bool repliesOnLink(const RegistryEntry &entry);
+    bool repliesOnNewLink(const RegistryEntry &entry);
     void notePathRecovered(const std::string &node, bool falseAlarm);
 
     NodeCore &core_;
--- a/src/sidecar/RetryBudgetService.cpp
+++ b/src/sidecar/RetryBudgetService.cpp
@@ -97,7 +97,7 @@
 void RetryBudgetService::debit(const CallRates &tokens)
 {
     for (const auto &[service, count] : tokens) {
-        budgetOf(service).take(count, core_.clock.now());
+        budgetOf(service).spend(count, core_.clock.now());
     }
 }
 
--- a/src/sidecar/SidecarNode.cpp
+++ b/src/sidecar/SidecarNode.cpp
@@ -86,9 +86,9 @@
 
 } // namespace
 
-struct SidecarNode::Parts {
-    Parts(boost::asio::io_context &ioContext, const Clock &clock, const NodeSettings &settings,
-          std::uint64_t incarnation)
+struct SidecarNode::Impl {
+    Impl(boost::asio::io_context &ioContext, const Clock &clock, const NodeSettings &settings,
+         std::uint64_t incarnation)
         : core(ioContext, clock, settings, incarnation, stableHash(settings.node, incarnation), maxKeptEvents)
         , store(core.client, settings.objectApi)
         , burn(clock)
@@ -151,7 +151,7 @@
     std::unique_ptr<HttpServer> metricsServer;
 };
 
-Expected<void> SidecarNode::Parts::build()
+Expected<void> SidecarNode::Impl::build()
 {
     PeerHub::Hooks hooks;
     hooks.onMessage = [this](LinkId link, const NodeRef &from, Message message) {
@@ -201,8 +201,7 @@
     return ok;
 }
 
-Expected<std::unique_ptr<HttpServer>> SidecarNode::Parts::listenAt(const Endpoint &endpoint,
-                                                                   HttpServer::Handler handler)
+Expected<std::unique_ptr<HttpServer>> SidecarNode::Impl::listenAt(const Endpoint &endpoint, HttpServer::Handler handler)
 {
     const HttpLimits limits = MakeHttpLimits(core.settings.limits);
     return HttpServer::MakeListening(core.ioContext, endpoint.address, endpoint.port, std::move(handler), limits,
@@ -212,7 +211,7 @@
                                      });
 }
 
-Expected<void> SidecarNode::Parts::listen()
+Expected<void> SidecarNode::Impl::listen()
 {
     Expected<void> links = peers->listen(core.settings.peers);
     if (!links) {
@@ -252,7 +251,7 @@
     return ok;
 }
 
-HttpReply SidecarNode::Parts::handleControl(const HttpRequest &request)
+HttpReply SidecarNode::Impl::handleControl(const HttpRequest &request)
 {
     if (const std::optional<HttpResponse> reply = home.handleServerCall(request)) {
         return HttpReply{*reply, AfterResponse::KeepOpen};
@@ -261,7 +260,7 @@
     return HttpReply{jsonResponse(notFound, "{\"error\":\"unknown path\"}\n"), AfterResponse::KeepOpen};
 }
 
-void SidecarNode::Parts::handleMessage(LinkId link, const NodeRef &from, Message message)
+void SidecarNode::Impl::handleMessage(LinkId link, const NodeRef &from, Message message)
 {
     if (auto *work = std::get_if<Work>(&message)) {
         updates.noteVersions(link, work->versions);
@@ -297,7 +296,7 @@
     }
 }
 
-void SidecarNode::Parts::handleWork(LinkId link, const NodeRef &from, Work work)
+void SidecarNode::Impl::handleWork(LinkId link, const NodeRef &from, Work work)
 {
     const Millis delay = linkDelays[link].excessDelay(peers->helloAge(link).value_or(Duration(0)), work.helloAge);
     work.remaining -= delay;
@@ -331,7 +330,7 @@
     });
 }
 
-void SidecarNode::Parts::noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence)
+void SidecarNode::Impl::noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence)
 {
     // The sender queries over a new link because nothing came on the one that carried the Work.
     const WorkKey key{fence.origin, fence.workId};
@@ -340,7 +339,7 @@
     }
 }
 
-void SidecarNode::Parts::applyConfig(const FleetConfig &changed)
+void SidecarNode::Impl::applyConfig(const FleetConfig &changed)
 {
     callerHandler.configChanged();
     HttpLimits limits = MakeHttpLimits(core.settings.limits);
@@ -351,7 +350,7 @@
     callerServer->setLimits(limits);
 }
 
-void SidecarNode::Parts::warmLinks()
+void SidecarNode::Impl::warmLinks()
 {
     for (const RegistryEntryPtr &entry : registry.registry().all()) {
         const bool inRegion = entry->region == core.settings.region && entry->id != core.self.id;
@@ -364,7 +363,7 @@
     }
 }
 
-void SidecarNode::Parts::broadcast(const Record &record)
+void SidecarNode::Impl::broadcast(const Record &record)
 {
     for (const RegistryEntryPtr &entry : registry.registry().all()) {
         if (entry->id == core.self.id) {
@@ -379,7 +378,7 @@
     }
 }
 
-void SidecarNode::Parts::reconnect(const std::string &peer)
+void SidecarNode::Impl::reconnect(const std::string &peer)
 {
     const RegistryEntryPtr lost = registry.registry().find(peer);
     if (lost == nullptr || lost->region != core.settings.region || !reconnecting.insert(peer).second) {
@@ -408,69 +407,69 @@
 Expected<std::unique_ptr<SidecarNode>> SidecarNode::MakeStarted(boost::asio::io_context &ioContext, const Clock &clock,
                                                                 const NodeSettings &settings, std::uint64_t incarnation)
 {
-    auto parts = std::make_unique<Parts>(ioContext, clock, settings, incarnation);
-    Expected<void> ok = parts->build();
-    ok = ok ? parts->listen() : ok;
+    auto impl = std::make_unique<Impl>(ioContext, clock, settings, incarnation);
+    Expected<void> ok = impl->build();
+    ok = ok ? impl->listen() : ok;
     if (!ok) {
         return tl::unexpected<Error>(ok.error());
     }
-    parts->home.start();
-    parts->config.start();
-    parts->registry.start();
-    parts->updates.start();
-    parts->core.events.write(Severity::Info, "node_started",
-                             {{"node", parts->core.self.text()},
-                              {"service", settings.server->service},
-                              {"server", settings.server->address.text()},
-                              {"callers", settings.callers.text()},
-                              {"links", settings.peers.text()}});
-    return std::unique_ptr<SidecarNode>(new SidecarNode(std::move(parts)));
+    impl->home.start();
+    impl->config.start();
+    impl->registry.start();
+    impl->updates.start();
+    impl->core.events.write(Severity::Info, "node_started",
+                            {{"node", impl->core.self.text()},
+                             {"service", settings.server->service},
+                             {"server", settings.server->address.text()},
+                             {"callers", settings.callers.text()},
+                             {"links", settings.peers.text()}});
+    return std::unique_ptr<SidecarNode>(new SidecarNode(std::move(impl)));
 }
 
-SidecarNode::SidecarNode(std::unique_ptr<Parts> parts)
-    : parts_(std::move(parts))
+SidecarNode::SidecarNode(std::unique_ptr<Impl> impl)
+    : impl_(std::move(impl))
 { }
 
 SidecarNode::~SidecarNode() = default;
 
 void SidecarNode::flushLog()
 {
-    parts_->core.events.flush();
+    impl_->core.events.flush();
 }
 
 void SidecarNode::reload(const NodeSettings &settings)
 {
-    NodeSettings &own = parts_->core.settings;
+    NodeSettings &own = impl_->core.settings;
     own.server = settings.server;
     own.bounds = settings.bounds;
     own.limits = settings.limits;
     own.times = settings.times;
-    parts_->core.events.write(Severity::Info, "settings_reloaded", {{"node", parts_->core.self.text()}});
+    impl_->core.events.write(Severity::Info, "settings_reloaded", {{"node", impl_->core.self.text()}});
 }
 
 bool SidecarNode::stop()
 {
-    NodeCore &core = parts_->core;
+    NodeCore &core = impl_->core;
     const SteadyTime startedAt = core.clock.now();
     const SteadyTime deadline = startedAt + stopGrace(core.settings) - stopMargin;
-    const bool willReturn = !parts_->home.serverLeft();
+    const bool willReturn = !impl_->home.serverLeft();
     core.events.write(Severity::Info, "node_stopping",
                       {{"node", core.self.text()}, {"serverLeft", willReturn ? "no" : "yes"}});
     core.draining = true;
-    parts_->forwarder.setStopDeadline(deadline);
-    parts_->callerServer->announceClose();
+    impl_->forwarder.setStopDeadline(deadline);
+    impl_->callerServer->announceClose();
     if (!willReturn) {
-        parts_->registry.removeOwnEntry();
+        impl_->registry.removeOwnEntry();
     }
-    const auto busy = [&] { return parts_->callerServer->requestsInFlight() > 0 || parts_->home.busy() > 0; };
+    const auto busy = [&] { return impl_->callerServer->requestsInFlight() > 0 || impl_->home.inProgressCount() > 0; };
     bool listening = true;
     while (core.clock.now() < deadline) {
         const Duration since = core.clock.now() - startedAt;
         if (since >= homeDrainDelay) {
-            parts_->home.stopAccepting();
+            impl_->home.stopAccepting();
         }
         if (since >= callerDrainDelay && listening) {
-            parts_->callerServer->drain();
+            impl_->callerServer->drain();
             listening = false;
         }
         if (!listening && !busy()) {
@@ -479,11 +478,11 @@
         sleepFor(core.ioContext, stopPollInterval);
     }
     const bool clean = !busy();
-    parts_->forwarder.abortAll();
+    impl_->forwarder.abortAll();
     sleepFor(core.ioContext, leaveGrace);
     core.stopping = true;
-    parts_->controlServer->drain();
-    parts_->peers->stop();
+    impl_->controlServer->drain();
+    impl_->peers->stop();
     core.events.write(clean ? Severity::Info : Severity::Error, "node_stopped",
                       {{"node", core.self.text()}, {"cleanly", clean ? "yes" : "no"}});
     return clean;
--- a/src/sidecar/SidecarNode.h
+++ b/src/sidecar/SidecarNode.h
@@ -40,9 +40,9 @@
     bool stop();
 
 private:
-    struct Parts;
-    explicit SidecarNode(std::unique_ptr<Parts> parts);
-    std::unique_ptr<Parts> parts_;
+    struct Impl;
+    explicit SidecarNode(std::unique_ptr<Impl> impl);
+    std::unique_ptr<Impl> impl_;
 };
 
 } // namespace waxwing
--- a/src/sidecar/WorkSender.cpp
+++ b/src/sidecar/WorkSender.cpp
@@ -105,7 +105,7 @@
     if (!pending->answered) {
         peers.reply(pending->link, Cancel{id});
         // A home that has not started the Work replies that it has not run. Without a reply the outcome is unknown.
-        const SteadyTime until = core_.clock.now() + paths_.answerTimeout(home);
+        const SteadyTime until = core_.clock.now() + paths_.replyTimeout(home);
         while (!pending->answered && !pending->linkLost && core_.clock.now() < until) {
             pending->notifier.wait(core_.ioContext, until - core_.clock.now());
         }
@@ -132,7 +132,7 @@
 bool WorkSender::awaitAck(Pending &pending, const SentWork &sent, SteadyTime deadline)
 {
     const auto isWaiting = [&] { return !pending.acked && !pending.linkLost && !pending.control->cancelled; };
-    SteadyTime until = std::min(deadline, core_.clock.now() + paths_.answerTimeout(sent.home));
+    SteadyTime until = std::min(deadline, core_.clock.now() + paths_.replyTimeout(sent.home));
     for (int round = 0; round < 2; ++round) {
         while (isWaiting() && core_.clock.now() < until) {
             pending.notifier.wait(core_.ioContext, until - core_.clock.now());
@@ -151,7 +151,7 @@
     FenceReply fenceReply;
     if (!pending.linkLost) {
         const Duration left = std::max(Duration(0), deadline - core_.clock.now());
-        fenceReply = fences_.queryOver(pending.link, sent, true, std::min(left, paths_.answerTimeout(sent.home)));
+        fenceReply = fences_.queryOver(pending.link, sent, true, std::min(left, paths_.replyTimeout(sent.home)));
     }
     if (fenceReply.state == FenceState::Ended && fenceReply.reply && !pending.answered) {
         pending.reply = *fenceReply.reply;
--- a/tests/unit/FleetRetryBudgetTest.cpp
+++ b/tests/unit/FleetRetryBudgetTest.cpp
@@ -25,7 +25,7 @@
 {
     int taken = 0;
     while (budget.has(1.0, nodes, reason, now) && taken < 10000) {
-        budget.take(1.0, now);
+        budget.spend(1.0, now);
         ++taken;
     }
     return taken;
@@ -146,7 +146,7 @@
             recipient.transferIn(budgets[donor].transferOut(3.0, RetryReason::Failure, nodes, now), now);
         }
         if (recipient.has(1.0, nodes, RetryReason::Failure, now)) {
-            recipient.take(1.0, now);
+            recipient.spend(1.0, now);
             ++taken;
         }
     }
--- a/tests/unit/PlatformDialectTest.cpp
+++ b/tests/unit/PlatformDialectTest.cpp
@@ -142,14 +142,14 @@
 TEST_CASE("server dialect, responses, are classified by their headers and not by status alone")
 {
     const std::pair<std::string, std::string> seal{names::signature, "s"};
-    CHECK(classifyAnswer(answer(200, {seal})) == ServerAnswer::Answer);
-    CHECK(classifyAnswer(answer(404, {seal})) == ServerAnswer::Answer);
-    CHECK(classifyAnswer(answer(500, {seal})) == ServerAnswer::Failure);
-    CHECK(classifyAnswer(answer(503, {seal, {names::notRun, "1"}})) == ServerAnswer::NotRun);
-    CHECK(classifyAnswer(answer(503, {seal})) == ServerAnswer::Failure);
-    CHECK(classifyAnswer(answer(421, {})) == ServerAnswer::OtherServer);
-    CHECK(classifyAnswer(answer(200, {})) == ServerAnswer::Unusable);
-    CHECK(classifyAnswer(answer(200, {seal, {"Content-Encoding", "gzip"}})) == ServerAnswer::Unusable);
+    CHECK(classifyResponse(answer(200, {seal})) == ServerResponse::Answer);
+    CHECK(classifyResponse(answer(404, {seal})) == ServerResponse::Answer);
+    CHECK(classifyResponse(answer(500, {seal})) == ServerResponse::Failure);
+    CHECK(classifyResponse(answer(503, {seal, {names::notRun, "1"}})) == ServerResponse::NotRun);
+    CHECK(classifyResponse(answer(503, {seal})) == ServerResponse::Failure);
+    CHECK(classifyResponse(answer(421, {})) == ServerResponse::OtherServer);
+    CHECK(classifyResponse(answer(200, {})) == ServerResponse::Unusable);
+    CHECK(classifyResponse(answer(200, {seal, {"Content-Encoding", "gzip"}})) == ServerResponse::Unusable);
 }
 
 TEST_CASE("server dialect, response that names another request, does not match this one")
--- a/tests/unit/RetryBudgetTransferTest.cpp
+++ b/tests/unit/RetryBudgetTransferTest.cpp
@@ -105,7 +105,7 @@
             }
         }
         if (has()) {
-            own.take(1.0, now);
+            own.spend(1.0, now);
             return true;
         }
         return false;
