--- a/tests/integration/UpgradeTest.cpp
+++ b/tests/integration/UpgradeTest.cpp
@@ -76,6 +76,25 @@
     Mesh mesh_;
 };
 
+class ScarceBudget
+{
+protected:
+    ScarceBudget()
+        : mesh_(options())
+    { }
+
+    /** A node uses three quarters of its equal part of the slack, less than the one token that a retry costs. */
+    static MeshOptions options()
+    {
+        MeshOptions out;
+        out.budgetRatio = 0.0;
+        out.budgetSlack = 3;
+        return out;
+    }
+
+    Mesh mesh_;
+};
+
 } // namespace
 
 // Guards against a release that can't read the claims, tickets, keys or intents of the one before it: a caller sends
@@ -132,3 +151,19 @@
         CHECK(eventually([&] { return mesh_.countLogLines(node, {"event=config_in_force", "version=2"}) == 1; }));
     }
 }
+
+// Guards against nodes that can't transfer tokens of the retry budget, within one build or between two: a lookup that
+// fails at a gray server would be lost although the fleet as a whole may still retry it.
+TEST_CASE_FIXTURE(ScarceBudget, "retry budget, node's own tokens cover no retry, takes tokens of other nodes")
+{
+    mesh_.setServerMode(0, {{"mode", "errors"}});
+    const auto lookup = [this] {
+        static int number = 0;
+        const auto response = mesh_.send(0, "lookup-" + std::to_string(++number), "/dates/1");
+        CHECK((response && response->status == 200));
+        return mesh_.countLogLines(0, {"event=second_send ", "allowed=yes"}) > 0;
+    };
+    REQUIRE(eventually(lookup));
+    // Another node transfers at most half of its own part.
+    CHECK(mesh_.countLogLines(0, {"event=second_sends_borrowed", "borrowed=0.375"}) > 0);
+}
--- a/tests/support/Mesh.cpp
+++ b/tests/support/Mesh.cpp
@@ -118,7 +118,8 @@
         {"objectApi", store_.text()},
         {"server",
          {{"service", options_.services.at(static_cast<std::size_t>(index))}, {"address", member.app.text()}}},
-        {"bounds", json::array({"grace_s=" + std::to_string(options_.graceSeconds), "retry_budget_ratio=0.2",
+        {"bounds", json::array({"grace_s=" + std::to_string(options_.graceSeconds),
+                                "retry_budget_ratio=" + std::to_string(options_.budgetRatio),
                                 "budget_slack=" + std::to_string(options_.budgetSlack)})}};
     std::string path = directory_ + "/n" + std::to_string(index) + ".json";
     std::ofstream(path) << settings.dump(2);
--- a/tests/support/Mesh.h
+++ b/tests/support/Mesh.h
@@ -19,7 +19,8 @@
     /** Timeout of the routes, and time from SIGTERM to the exit. */
     int timeoutMs = 3000;
     int graceSeconds = 5;
-    /** Retries that the fleet may make beyond its share of the requests. */
+    /** The retry budget: share of the requests, and retries beyond it in a window, of the whole fleet. */
+    double budgetRatio = 0.2;
     int budgetSlack = 60;
     /** Unused routes that make the configuration large. */
     int spareRoutes = 0;
