--- a/include/home/LocalServerState.h
+++ b/include/home/LocalServerState.h
@@ -36,7 +36,8 @@
     /** Deregisters the server. @p incarnation: its incarnation, if the request names one. */
     ServerChange deregister(const std::string &server, std::optional<std::uint64_t> incarnation);
     /**
-     * Another process, or none, answers at the server's address. No server is known until a newer announcement arrives.
+     * Records that another process, or none, responds at the server's address. No server accepts work until a newer
+     * announcement arrives.
      */
     void noteReplaced();
 
--- a/include/home/SlotQueue.h
+++ b/include/home/SlotQueue.h
@@ -34,9 +34,9 @@
     /** If the server fails the request, the sender can and will send it to another one. */
     bool retryable = false;
     int priority = 0;
-    /** A response by then is in time. */
+    /** Time by which a response meets the route's objective. */
     SteadyTime objective;
-    /** The caller has given up by then. */
+    /** Time at which the caller gives up. */
     SteadyTime deadline;
     /** Longest time in the queue of this home. After it, another home is expected to be better. */
     Millis queueTimeout{0};
@@ -55,11 +55,11 @@
     None,
     /** No server beside this node, or it is leaving. */
     NoServer,
-    /** No slot is expected to be free within the queue timeout. */
+    /** No slot is expected to be free within the queue timeout, or too many requests wait. */
     Busy,
-    /** The server is likely gray, and the request can't be retried, or a probe runs or ran a moment ago. */
+    /** The server is likely gray. The request can't be retried, or another probe is in progress or too recent. */
     LikelyGray,
-    /** Too little time is left. */
+    /** The deadline has passed. */
     TooLate,
 };
 
@@ -72,13 +72,14 @@
 
 struct SlotTuning {
     /**
-     * From this probability on, the server gets no work that can't be retried. A single failure raises a server with
-     * the usual probability above it. About four seconds without evidence, or three successes, bring it below again.
+     * From this probability on, the server gets no work that can't be retried, except with @c acceptsGray. A single
+     * failure raises a server with the stationary probability above it. About four seconds without evidence, or three
+     * successes, bring it below again.
      */
     double grayThreshold = 0.45;
     /**
-     * From this probability on, requests with @c acceptsGray are refused as well: three of four would be lost, and a
-     * refused caller can at least retry safely.
+     * From this probability on, requests that can't be retried are refused even with @c acceptsGray: three of four
+     * would be lost, and a refused caller can at least retry safely.
      */
     double certainGrayThreshold = 0.8;
     /**
@@ -90,19 +91,19 @@
     Millis maxProbeInterval{1200};
     double probeIntervalFactor = 1.7;
     /**
-     * After the first probe, a request from a sender without @c acceptsGray becomes a probe only after this many
-     * intervals, up to the maximum: other homes have room for it. In a large fleet such a sender exists whenever a
+     * After the first failed probe, a request without @c acceptsGray becomes a probe only after this many intervals, up
+     * to the maximum: other homes have free slots for it. In a large fleet some sender has such a request whenever a
      * probe is due.
      */
     double uninformedSenderFactor = 2.0;
     Millis maxUninformedProbeInterval{1800};
     /**
-     * Likelihood ratio (gray server to healthy server) of a failure that came at once, and of one after the usual work
-     * time. A healthy server mostly fails a request after working on it, a gray server mostly before.
+     * Likelihood ratio (gray server to healthy server) of a fast failure, and of one after the usual work time. A
+     * healthy server mostly fails a request after working on it, a gray server mostly before.
      */
     double fastFailureRatio = 500.0;
     double slowFailureRatio = 6.0;
-    /** A failure within this fraction of the usual work time came at once. */
+    /** A failure within this fraction of the usual work time is a fast one. */
     double fastFailureFraction = 0.2;
     /** Weight of the newest work time in the moving average. */
     double smoothing = 0.1;
@@ -133,9 +134,9 @@
 public:
     explicit SlotQueue(SlotTuning tuning = {});
 
-    /** Sets the server's number of slots. @p newProcess: it is another process than before. */
+    /** Sets the server's number of slots. @p newProcess: the server was restarted, so earlier evidence is discarded. */
     void setServer(std::uint32_t slots, bool newProcess, SteadyTime now);
-    /** The server accepts no more work. Returns the requests that were waiting. */
+    /** Records that the server accepts no more work. Removes and returns all waiting requests. */
     std::vector<std::uint64_t> clearServer();
     /** Removes and returns all waiting requests. Running requests continue. */
     std::vector<std::uint64_t> removeWaiting();
@@ -154,8 +155,8 @@
     void addResult(const std::string &route, bool failed, Duration took, SteadyTime now);
 
     /**
-     * The server shed a request although it had a free slot. The request has not run, so only a send is lost: other
-     * homes are preferred, but work that can't be retried is still admitted.
+     * Records that the server shed a request although it had a free slot. The request has not run, so it costs only a
+     * send: other homes are preferred, but work that can't be retried is still admitted.
      */
     void noteShed(SteadyTime now);
     /** Adds other evidence against the server. @p ratio: likelihood ratio of a gray to a healthy server. */
@@ -165,9 +166,12 @@
         std::vector<std::uint64_t> start;
         std::vector<std::uint64_t> expired;
     };
-    /** Starts waiting requests in free slots, most urgent first, and removes those whose queue timeout has passed. */
+    /**
+     * Starts waiting requests in free slots, most urgent first. Removes those whose queue timeout has passed or that
+     * will not start before it, and those that the server may no longer get because it is likely gray.
+     */
     PollResult poll(SteadyTime now);
-    /** Returns when poll() is due even if nothing else happens; SteadyTime::max() if nothing waits. */
+    /** Returns when poll() is due if nothing else happens before; SteadyTime::max() if nothing waits. */
     SteadyTime nextPollTime(SteadyTime now) const;
 
     /** Returns the load as it applies to a request of @p priority. */
@@ -175,7 +179,7 @@
     std::size_t running() const;
     std::size_t waiting() const;
     double grayProbability(SteadyTime now) const;
-    /** Returns the moving average of the work time of @p route, or @c defaultWorkTime if the route never ran here. */
+    /** Returns the moving average of the work time of @p route, or @c defaultWorkTime if none has succeeded here. */
     Duration expectedWorkTime(const std::string &route) const;
     /** Returns true if a request of @p route has succeeded here. */
     bool hasWorkTime(const std::string &route) const;
@@ -203,7 +207,7 @@
     bool isMoreUrgent(const SlotRequest &a, const SlotRequest &b, SteadyTime now) const;
     bool hasFreeSlot() const;
     RefusalReason grayRefusal(const SlotRequest &request, SteadyTime now) const;
-    /** Time from one probe to the next one, if that is @p request. */
+    /** Returns the interval between the last probe and @p request as the next one. */
     Duration probeIntervalFor(const SlotRequest &request) const;
     void start(const SlotRequest &request, SteadyTime now);
     void noteFailure(double ratio, SteadyTime now);
@@ -214,8 +218,8 @@
      */
     Duration waitBehind(std::ptrdiff_t ahead, int rank, SteadyTime now) const;
     /**
-     * Returns true if the request is already late and the requests that can still be in time leave no slot for it
-     * before its timeout. Its caller is refused at once instead of at the timeout.
+     * Returns true if the request is already late and more urgent requests leave no slot for it before its queue
+     * timeout. Its caller is refused at once instead of at the timeout.
      */
     bool willTimeOut(const Waiting &one, SteadyTime now) const;
     /** Returns the recent share of the slots that ranks more urgent than @p rank used. */
@@ -242,8 +246,8 @@
     SteadyTime lastProbe_;
     Duration probeInterval_;
     /**
-     * By rank. The queue length does not show more urgent work that arrives later and goes first. Without this count,
-     * less urgent requests would be admitted and would time out in the queue.
+     * By rank. The queue length does not include more urgent requests that arrive later and start first. Without this
+     * count, less urgent requests would be admitted and would time out in the queue.
      */
     std::map<int, Occupancy> occupancy_;
 };
--- a/src/home/LocalServerState.cpp
+++ b/src/home/LocalServerState.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 /**
- * Largest number of servers with a recorded deregistration. The server beside one node restarts far less often than
- * heartbeats are delayed.
+ * Largest number of recorded deregistrations. A record is needed only as long as heartbeats can be delayed, and the
+ * server beside one node restarts far less often than that.
  */
 constexpr std::size_t maxDeregistered = 64;
 } // namespace
--- a/src/home/SlotQueue.cpp
+++ b/src/home/SlotQueue.cpp
@@ -14,7 +14,7 @@
 constexpr double baselineSmoothing = 0.1;
 constexpr double minSlowdown = 1.0;
 constexpr double maxSlowdown = 20.0;
-/** Late requests are served after all ranks of requests that can be in time. */
+/** Late requests are served after all ranks of requests that can still meet their objective. */
 constexpr int firstLateRank = 1000;
 
 double secondsOf(Duration value)
@@ -105,7 +105,8 @@
 
 int SlotQueue::rankOf(const SlotRequest &request, SteadyTime now) const
 {
-    // Requests that will be late anyway go behind requests that can still be in time: more waiting costs them little.
+    // Requests that will be late anyway are served after those that can still meet their objective: more waiting
+    // costs them little.
     const bool late = now + expectedWorkTime(request.route) > request.objective;
     return late ? firstLateRank + request.priority : request.priority;
 }
