--- a/include/home/ServiceHome.h
+++ b/include/home/ServiceHome.h
@@ -36,7 +36,7 @@
     };
     Kind kind = Kind::Refused;
     std::string server;
-    /** Identifier of the reason of a refusal; it does not change between releases. */
+    /** Identifier of the reason for a refusal. It does not change between releases. */
     std::string reason;
     Millis retryAfter{0};
 };
@@ -53,7 +53,7 @@
     HealthTuning health;
     /** A server that has not announced itself for this long gets no new work. */
     Millis announceTimeout = std::chrono::seconds(2);
-    /** A silent server is removed after this long. */
+    /** A server that has not announced itself for this long, and runs no request, is removed. */
     Millis removeAfter = std::chrono::seconds(30);
     std::size_t queuePerClass = 64;
     /** Refuse requests at once that would miss their deadline. Off only where a benchmark measures a baseline. */
@@ -110,11 +110,14 @@
     bool cancel(std::uint64_t id);
     /** Adds the result of a request as evidence about its server. */
     void addEvidence(const std::string &server, Evidence evidence, SteadyTime now);
-    /** The server's process ended. The server counts as absent, not as unhealthy, until it announces itself again. */
+    /**
+     * Records that the server's process ended. The server counts as absent, not as unhealthy, until a new process
+     * announces itself.
+     */
     void noteDeath(const std::string &server);
     /**
-     * Adds evidence about servers of this service at other homes. It distinguishes a slow service from an unhealthy
-     * server.
+     * Adds the result of a request at another home of this service. Such results distinguish a slow service from an
+     * unhealthy server.
      */
     void addPeerEvidence(bool bad, SteadyTime now);
 
@@ -141,7 +144,7 @@
     bool hasFreeSlotExcluding(const std::set<std::string> &exclude, SteadyTime now) const;
     std::size_t queued() const;
     std::size_t inFlight() const;
-    /** Returns all known servers, including silent and ejected ones. */
+    /** Returns all known servers, including absent and ejected ones. */
     std::vector<ServerView> servers() const;
     const Announcement *find(const std::string &server) const;
     /** Returns the recent share of bad results over all servers except @p except. */
@@ -161,7 +164,9 @@
         ServerHealth health;
         SteadyTime lastAnnounced;
         std::uint32_t inFlight = 0;
-        /** Sequence number of the last assignment. Equally loaded servers are chosen in turn by it. */
+        /**
+         * Sequence number of the last assignment. Of equally loaded servers, the one with the lowest number is chosen.
+         */
         std::uint64_t lastAssignment = 0;
         bool dead = false;
         bool keptForFloor = false;
--- a/src/home/ServiceHome.cpp
+++ b/src/home/ServiceHome.cpp
@@ -120,7 +120,8 @@
             continue;
         }
         if (server.health.phase() == ServerPhase::Probation && intent.idempotent) {
-            // A probe has precedence. Otherwise a recovered server could not show it while others have free slots.
+            // A server on probation comes first. Otherwise it would get no probe, and could not return, while others
+            // have free slots.
             return &server;
         }
         const bool suspect = server.health.suspicion() >= suspicionThreshold && !server.keptForFloor;
@@ -230,7 +231,7 @@
             return out;
         }
     }
-    // Work that would only time out in the queue is refused now, while the caller can still use another home.
+    // Work that would only time out in the queue is refused now, while the sender can still use another home.
     const Duration wait = expectedWait(request.className, now);
     if (tuning_.refuseEarly && now + wait + load.workTime > request.deadline) {
         return refusal("would-miss-deadline", wait);
@@ -400,7 +401,7 @@
 bool ServiceHome::isServiceSlow(const std::string &except, SteadyTime now) const
 {
     // The median is used so that a few other unhealthy servers do not keep this one in service, while a slow service
-    // shows in more than half of its servers, whichever of them was late first.
+    // shows in more than half of its servers, regardless of which was late first.
     std::vector<double> shares;
     for (const auto &[name, server] : servers_) {
         const double weight = decay(server.countedAt, now);
