--- a/include/route/HomeChooser.h
+++ b/include/route/HomeChooser.h
@@ -29,8 +29,8 @@
 
 /**
  * Chooses the home for a request from what this node has observed: load reported with responses, and failed paths.
- * Nearer homes are preferred, and farther ones get what nearer ones have no room for, so that links between regions
- * carry only what is needed. A failed path only lowers this node's preference: the home remains a last resort, so a
+ * Nearer homes are preferred, and farther ones get only what exceeds the capacity of nearer ones, which limits the
+ * traffic between regions. A failed path only lowers this node's preference: the home remains a last resort, so a
  * failed path ejects nothing. Not thread safe.
  */
 class HomeChooser
--- a/include/route/HomeRanking.h
+++ b/include/route/HomeRanking.h
@@ -13,7 +13,7 @@
 
 namespace waxwing {
 
-/** A candidate for one choice. */
+/** A home to choose from. */
 struct RankedHome {
     std::string node;
     Distance distance = Distance::SameRegion;
@@ -31,7 +31,7 @@
     Millis workTime{200};
     /** Usual response size of the route. */
     double responseKilobytes = 0.0;
-    /** The request has tried enough homes: it waits at the home chosen now unless it would be late there. */
+    /** The request has been sent often enough: it waits at the home chosen now unless it would be late there. */
     bool mustQueue = false;
 };
 
@@ -76,9 +76,7 @@
      * are slower.
      */
     double fullServerLoss = 40.0;
-    /**
-     * A home without a load report for this long is tried by retryable work as if its server were known to be healthy.
-     */
+    /** A home without a load report for this long gets retryable work as if its server were known to be healthy. */
     Millis staleAfter{1000};
     /** A retryable request that fails at a gray server costs a retry. Any other request is lost. */
     double grayLossRetryable = 250.0;
@@ -110,7 +108,7 @@
     double missedFraction = 1.0;
     /** Cost of one more send. A request leaves a home only if another one is better by more than this. */
     double moveLoss = 30.0;
-    /** Above this probability a server is used only with @c acceptsGray, which homes require. */
+    /** From this probability on, a request is sent with @c acceptsGray. Without it, homes refuse most requests. */
     double acceptGrayThreshold = 0.4;
     /** From this probability on, work that can't be retried is not sent at all, because homes refuse it. */
     double certainGrayThreshold = 0.8;
@@ -122,20 +120,20 @@
     /** The mean wait over a service's homes changes more slowly than the wait at one of them. */
     Millis meanWaitHalfLife{1500};
     /**
-     * A home that refused because its server is likely gray is not tried again for this long. Within its zone it is
+     * A home that refused because its server is likely gray is not tried again for this long. From its own zone it is
      * tried as often as it admits probes. From farther away a refusal costs more bytes and time, and senders in its
-     * zone see it recover first.
+     * zone notice first that it has recovered.
      */
     Millis grayBackoffZone{1000};
     Millis grayBackoffRegion{2500};
     Millis grayBackoffFar{6000};
-    /** A refused sender avoids a home without a server for this long. */
+    /** A home that refused for lack of a server is avoided for this long. */
     Millis noServerBackoff{700};
 };
 
 /**
  * Orders the homes of a service for one request by expected loss: distance, risk of being late, probability that the
- * server is gray, failed paths. Uses replies and refusals only. Not thread safe.
+ * server is gray, failed paths. Uses only what replies and refusals reported. Not thread safe.
  */
 class HomeRanking
 {
@@ -156,9 +154,9 @@
     /** Records that the home refused because its server is likely gray. */
     void noteLikelyGray(const RankedHome &home, SteadyTime now);
     /**
-     * Records that nothing came back over the path. The caller probes the path, which counts as failed until
-     * notePathRecovered(). With a timeout instead, every sender lost one more request to find out that a VM was still
-     * gone.
+     * Records that no response came over the path. The path counts as failed until notePathRecovered(), and the caller
+     * of this function probes it. When it counted as failed only for a fixed time, every sender lost one more request
+     * each time to find out that a VM was still down.
      */
     void notePathFailure(const std::string &node);
     void notePathRecovered(const std::string &node);
@@ -194,7 +192,7 @@
     Defaults defaultsFor(const std::vector<RankedHome> &homes, const HomeQuery &query, SteadyTime now) const;
     /** Returns true if the home may be tried for this request. */
     bool isCandidate(const RankedHome &home, const HomeQuery &query, const Defaults &defaults, SteadyTime now) const;
-    /** Returns true if there is no recent report and no bad report that still counts. */
+    /** Returns true if there is no recent report, and no older one by which the server is still likely gray. */
     bool isStale(const RankedHome &home, const Defaults &defaults, SteadyTime now) const;
     double distanceLoss(Distance distance, const HomeQuery &query) const;
     /** Returns the expected loss without that of the wait. */
--- a/include/route/HomeSearch.h
+++ b/include/route/HomeSearch.h
@@ -7,9 +7,9 @@
 namespace waxwing {
 
 struct HomeSearchTuning {
-    /** Each refusal costs a round trip. After this many sends the fleet has no room. */
+    /** Each refusal costs a round trip. After this many sends the whole fleet counts as busy. */
     int maxSends = 12;
-    /** One home is tried once more, with the load that its refusal reported. */
+    /** A home is tried once more after its first refusal, with the load that the refusal reported. */
     int maxRefusalsPerHome = 2;
     /**
      * After this many sends the request waits at the next home. In a large fleet a sender has few load reports and
@@ -34,7 +34,7 @@
     void noteSent(const std::string &home);
     /** Records a refusal by @p home, which may be tried again with the load that it reported. */
     void noteRefused(const std::string &home);
-    /** Homes that are not tried again. */
+    /** Returns the homes that are not tried again. */
     const std::set<std::string> &excluded() const;
 
 private:
--- a/src/route/HomeRanking.cpp
+++ b/src/route/HomeRanking.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** In thousandths. Above any other loss, so that such a home is tried last, but still tried. */
+/** In thousandths. Above any other single loss, so that such a home is tried last, but is still tried. */
 constexpr double noServerLoss = 1500.0;
 constexpr double failedPathLoss = 3000.0;
 /** Slots assumed of a home without a load report. */
@@ -96,7 +96,7 @@
                                  SteadyTime now) const
 {
     if (candidate.distance == Distance::SameNode) {
-        // For this node's own queue no report means that no request was refused there.
+        // No report about this node's own queue means that no request was refused there: the expected wait is zero.
         const std::optional<ReportedWait> own = reportedWait(candidate, query, now);
         return own ? own->millis * decayWeight(now - own->at, tuning_.loadHalfLife) : 0.0;
     }
@@ -170,7 +170,7 @@
     double loss = distanceLoss(candidate.distance, query);
     const auto found = homes_.find(candidate.node);
     // Retryable work explores homes without a recent report. Otherwise a server that joins, or one without a report by
-    // chance, would get no work as long as the other servers are known to be healthy and have room.
+    // chance, would get no work as long as the other servers are known to be healthy and have free slots.
     const bool explores = query.retryable && isStale(candidate, defaults, now);
     if (!explores) {
         loss += currentGrayProbability(candidate, defaults, now)
