--- a/include/health/Detector.h
+++ b/include/health/Detector.h
@@ -11,7 +11,7 @@
 
 /** Evidence from one real request about the server that ran it. A shed request is no evidence. */
 enum class Evidence {
-    /** Complete response in time. */
+    /** Complete response within the intent's response time. */
     Good,
     /** Response after the intent's response time, or none yet at that time. */
     Late,
--- a/include/health/ServerHealth.h
+++ b/include/health/ServerHealth.h
@@ -30,8 +30,8 @@
     int successesToReturn = 5;
     int maxSuccessesToReturn = 40;
     /**
-     * A server on probation for this long gets one non-idempotent request, for lack of idempotent ones to probe it
-     * with.
+     * After this long on probation a server also gets non-idempotent requests, as there may be no idempotent ones to
+     * probe it with.
      */
     Millis probationWithoutProbe = std::chrono::seconds(30);
 };
@@ -52,7 +52,10 @@
     void tick(SteadyTime now);
     /** Ejects the server. The floor must have allowed it. */
     void eject(SteadyTime now);
-    /** The process was replaced: starts a ramp without history. */
+    /**
+     * Starts a ramp for a new process of the server. Discards the evidence; earlier ejections still lengthen the next
+     * one.
+     */
     void restarted(SteadyTime now);
 
     ServerPhase phase() const;
@@ -62,7 +65,7 @@
     bool countsAsInService() const;
     /** Returns how many of @p slots the server may use now. On probation it is one. */
     std::uint32_t usableSlots(std::uint32_t slots, SteadyTime now) const;
-    /** Returns true if a request of this kind may go to the server now. */
+    /** Returns true if the server may get a request now. @p idempotent: the request is idempotent. */
     bool accepts(bool idempotent, SteadyTime now) const;
     Millis currentEjection() const;
     int relapses() const;
--- a/src/health/Detector.cpp
+++ b/src/health/Detector.cpp
@@ -13,7 +13,10 @@
 constexpr double minHealthyShare = 0.005;
 constexpr double minUnhealthyShare = 0.25;
 constexpr double maxShare = 0.98;
-/** A late request at a healthy server ends within one further step about half of the time. */
+/**
+ * Log-likelihood ratio of one more step of waiting, about ln 2: at a healthy server about half of the late requests end
+ * within it.
+ */
 constexpr double stillWaitingRatio = 0.65;
 
 constexpr Millis minLateStep{25};
@@ -145,8 +148,7 @@
         step = stillWaitingRatio * std::max(0.0, 1.0 - healthy * 2.0);
         break;
     }
-    // The score is capped a little above the threshold, so that an unhealthy server that the floor keeps in service can
-    // still recover with good results.
+    // The cap lets an unhealthy server that the floor keeps in service recover soon with good results.
     score_ = std::clamp(score_ + step, 0.0, threshold_ * 1.5);
 }
 
--- a/src/health/GrayFilter.cpp
+++ b/src/health/GrayFilter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** A gray phase begins at the first probability and ends below the second one. */
+/** A gray phase begins at or above the first probability and ends below the second one. */
 constexpr double phaseStartThreshold = 0.5;
 constexpr double phaseEndThreshold = 0.1;
 
