--- a/include/limit/FleetRetryBudget.h
+++ b/include/limit/FleetRetryBudget.h
@@ -17,7 +17,7 @@
     Millis window = std::chrono::seconds(10);
     /**
      * Fraction of the limit that nodes use. The rest covers nodes that lost their counts in a restart, and nested calls
-     * that a retried run repeats: they are known only as a mean, and not before the first run.
+     * that a retried run repeats: only their mean number per run is known, and not before the first run.
      */
     double usableFraction = 0.75;
     /**
@@ -30,11 +30,11 @@
 
 /** How a node that has used up its tokens requests more from other nodes. */
 struct TransferTuning {
-    /** Nodes asked for one transfer, one after another until there are enough tokens. */
+    /** Largest number of nodes that one transfer requests tokens from, one after another until there are enough. */
     std::size_t maxDonors = 12;
     /**
-     * Tokens requested beyond those missing, for the next failure. Tokens that are not used in time are lost to the
-     * fleet.
+     * Tokens requested beyond those missing, for the next failure. Tokens that are not used before they expire are lost
+     * to the fleet.
      */
     double extraTokens = 2.0;
 };
@@ -51,9 +51,9 @@
 
 /**
  * Retry budget of one service over a sliding window, shared by the fleet. Each node uses the share of its own requests
- * and an equal part of the fleet's slack, so the sum stays within the limit even if nodes are cut off from each other.
- * A node that has used up its tokens gets more from others. The donor counts transferred tokens as used, so the sum
- * does not change, and a lost reply loses tokens but never creates any. Not thread safe.
+ * and an equal part of the fleet's slack. The sum therefore stays within the limit even if nodes are cut off from each
+ * other. A node that has used up its tokens gets more from others. The donor counts transferred tokens as used, so the
+ * sum does not change: a lost reply can lose tokens but never create any. Not thread safe.
  */
 class FleetRetryBudget
 {
@@ -64,8 +64,8 @@
     /** Returns true if @p tokens more retries stay within the limit. @p nodes: number of nodes that share the slack. */
     bool has(double tokens, std::size_t nodes, RetryReason reason, SteadyTime now) const;
     /**
-     * Uses @p tokens. A retry whose run makes nested calls also uses their mean number in the budget of the called
-     * service.
+     * Uses @p tokens. For a retry whose run makes nested calls, their mean number is also spent from the budget of the
+     * called service.
      */
     void spend(double tokens, SteadyTime now);
     /** Returns tokens that were taken for sends that did not happen. */
--- a/include/limit/NestedCallTracker.h
+++ b/include/limit/NestedCallTracker.h
@@ -16,25 +16,25 @@
 /**
  * Estimates how many nested calls the runs of each route make. A retried run repeats its calls, which count as retries
  * at the called service, but a call does not name the run that made it. A home sees which runs are in progress at its
- * server and which requests come from its VM. The server makes calls only while it runs something, whereas callers send
+ * server and which requests come from its VM. The server makes calls only while it runs something; callers send
  * requests at any time. A call belongs to one of the runs in progress, most likely to one of a route with known calls.
  * Not thread safe.
  */
 class NestedCallTracker
 {
 public:
-    /** The server started a run of @p route. @p rank: its urgency; 0 is the most urgent. */
+    /** Records that the server started a run of @p route. @p rank: its urgency; 0 is the most urgent. */
     void begin(std::uint64_t runId, const std::string &route, int rank, SteadyTime now);
     void end(std::uint64_t runId, SteadyTime now);
     /** Records a request of @p route for @p service that came from this VM. */
     void arrived(const std::string &route, const std::string &service, SteadyTime now);
     /**
      * Returns true if requests of @p route are nested calls of the server: if they came from callers, several would
-     * have arrived while the server was idle. False while there is too little evidence, which is always so beside a
-     * server that is never idle.
+     * have arrived while the server was idle. Without markNested() it returns false while there is too little evidence,
+     * which is always so beside a server that is never idle.
      */
     bool isNestedCall(const std::string &route) const;
-    /** Records that a home, which sees the requests of many VMs, reported requests of @p route as nested calls. */
+    /** Records that a home reported requests of @p route as nested calls. Homes see the requests of many VMs. */
     void markNested(const std::string &route);
     /** Records that a request of @p route for @p service from this VM failed. */
     void failed(const std::string &route, const std::string &service);
@@ -67,7 +67,10 @@
     };
 
     void count(const std::string &route, SteadyTime now);
-    /** Weaker test, used for accounting: counting one call too many is better than one too few. */
+    /**
+     * Returns true if few requests of @p route arrived while the server was idle. A weaker test for accounting, where
+     * counting one call too many is better than one too few.
+     */
     bool mayBeNestedCall(const std::string &route) const;
     /** Counts the time up to @p now as busy or idle. To be called before @c runs_ changes. */
     void advanceTime(SteadyTime now);
--- a/include/limit/RetryBudget.h
+++ b/include/limit/RetryBudget.h
@@ -12,7 +12,7 @@
     explicit RetryBudget(double share = 0.1, double burst = 10.0);
     /** Records a first attempt. */
     void noteAttempt();
-    /** Takes one retry from the budget. Returns false if none is left. */
+    /** Takes one retry from the budget. Returns false and takes none if less than one is left. */
     bool tryRetry();
 
 private:
--- a/include/limit/RouteOrigins.h
+++ b/include/limit/RouteOrigins.h
@@ -13,8 +13,8 @@
  * every VM, while the calls of a server come only from VMs of the services that make them. If requests of a route never
  * come from the VMs of some service, although many came from zones with VMs of that service, they are nested calls.
  *
- * The VM on which a call begins learns this late or never, because a busy server is never idle. The called home sees
- * the requests of many VMs at once. Not thread safe.
+ * The node beside the calling server detects this late or never (see NestedCallTracker), because a busy server is never
+ * idle. The called home sees the requests of many VMs at once. Not thread safe.
  */
 class RouteOrigins
 {
--- a/src/limit/NestedCallTracker.cpp
+++ b/src/limit/NestedCallTracker.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/** From this share of requests that came while the server was idle, a route is not one of nested calls. */
+/** If a larger share of a route's requests came while the server was idle, they are not nested calls. */
 constexpr double maxIdleShareOfCalls = 0.03;
 /**
- * Expected number of requests during idle times if they came from callers. By chance none arrives with probability 1 in
- * 20.
+ * Number of requests that callers would have sent while the server was idle, from which on their absence is evidence:
+ * it is due to chance with probability 1 in 20.
  */
 constexpr double minExpectedIdleArrivals = 3.0;
 /**
- * Largest fraction of the expected requests that may arrive during idle times: a call may still be read after its run
- * has ended.
+ * Fraction of that number below which requests are nested calls. A few nested calls also come while the server is idle,
+ * because a call may be read after its run has ended.
  */
 constexpr double maxIdleFractionOfCalls = 0.25;
 /**
@@ -24,15 +24,18 @@
  */
 constexpr std::uint32_t minIdlePeriods = 5;
 constexpr double maxIdleSecondsCounted = 0.5;
-/** Counts are halved from here on, so that a route whose use changes is classified anew. */
+/** Counts are halved when they reach this, so that a route whose use changes is classified anew. */
 constexpr std::uint32_t maxCounted = 1000;
 /** Weight of the newest run in a route's rate after many runs. */
 constexpr double smoothing = 0.05;
 /** Weight of a route without known calls: enough to detect calls, too little to take the calls of other routes. */
 constexpr double unknownWeight = 0.02;
-/** Fewer calls per run were attributed to a route by mistake, or its failures seldom come from a call. */
+/**
+ * Calls per run above which a route counts as a caller. With fewer, they were attributed to it by mistake, or its
+ * failures seldom come from a call.
+ */
 constexpr double minCallerRate = 0.2;
-/** A rate below this was attributed to a route by mistake. */
+/** Calls attributed to a route by mistake lead to rates below this. A rate is dropped below this times @c smoothing. */
 constexpr double minRate = 0.05;
 
 } // namespace
--- a/src/limit/RouteOrigins.cpp
+++ b/src/limit/RouteOrigins.cpp
@@ -7,11 +7,16 @@
 
 namespace {
 
-/** Probability of about 1 in 10000 that requests of callers came only from these VMs. */
+/**
+ * Negative logarithm of the probability, about 1 in 10000, that requests of callers come only from these VMs by chance.
+ */
 constexpr double evidenceThreshold = 9.0;
-/** A zone whose VMs all belong to the calling services gives no evidence. Bounds the weight of one request. */
+/**
+ * Lower bound of a share, which bounds the weight of one request. A share of one, a zone whose VMs all belong to the
+ * calling services, gives no evidence.
+ */
 constexpr double minShare = 0.05;
-/** Counts start anew from here on, because a configuration can change which services call the route. */
+/** Counts are reset when they reach this, because a new configuration can change which services call the route. */
 constexpr std::uint32_t maxCounted = 2000;
 
 } // namespace
