--- a/include/floor/HomeFloor.h
+++ b/include/floor/HomeFloor.h
@@ -13,7 +13,7 @@
 
 namespace waxwing {
 
-/** Pledge of one home: it keeps at least @c pledge servers in service, of the @c capacity it has seen. */
+/** Pledge of one home: it keeps at least @c pledge servers in service, of the @c capacity it has or had recently. */
 struct Pledge {
     NodeRef home;
     std::uint32_t pledge = 0;
@@ -45,8 +45,8 @@
  * allows. Whenever a pledge is lowered, the pledges in the table still add up to at least the floor, because a pledge
  * is lowered only by a conditional update that checks the sum. A home assumes its own pledge to be at least the one in
  * the table: it raises the assumed pledge before the write, and lowers it only after the write is known to have taken
- * effect. So the servers that the homes keep add up to the floor even if a home is paused, cut off or without the
- * store. Not thread safe.
+ * effect. The servers that the homes keep therefore add up to the floor even if a home is paused, cut off or without
+ * the store. Not thread safe.
  */
 class HomeFloor
 {
@@ -57,7 +57,10 @@
     HomeFloor(NodeRef self, InServiceOf inServiceOf);
 
     void setFloor(const CapacityFloor &floor);
-    /** Sets the capacity: @p inService of @p announced servers here are healthy now. */
+    /**
+     * Records that @p inService of @p announced servers here are healthy now. For the floor, a larger number of
+     * announced servers counts for a while after servers were lost.
+     */
     void setCapacity(std::uint32_t announced, std::uint32_t inService, SteadyTime now);
 
     /** Returns true if the floor still holds after one more ejection here. */
@@ -74,19 +77,20 @@
     /** Returns how many servers this home must keep in service now, for reports. */
     std::uint32_t mustKeep() const;
     std::uint32_t pledge() const;
-    /** Returns the table as last known. */
+    /** Returns the table as last read or written. */
     const PledgeTable &knownTable() const;
 
     /**
-     * Returns the table with the change that this home wants, to be written on condition of the table's version. @p
-     * mayAbsorb: this is the one home of the service that takes over the pledges of departed homes.
+     * Returns the table with the change that this home wants, to be written on condition of the table's version, or
+     * nothing if it wants none. @p mayAbsorb: this is the one home of the service that takes over the pledges of
+     * departed homes.
      */
     std::optional<PledgeTable> proposal(bool mayAbsorb = true);
-    /** The last proposal took effect, and the table now has @p version. */
+    /** Records that the last proposal took effect and that the table now has @p version. */
     void accepted(std::uint64_t version);
     /**
-     * The last proposal did not take effect because the table has another version, @p current. Without @p current the
-     * proposal is dropped, as after a lost reply.
+     * Records that the last proposal did not take effect because the table has another version, @p current. Without @p
+     * current the proposal is dropped, as after a lost reply.
      */
     void rejected(std::optional<PledgeTable> current);
 
--- a/include/poison/PoisonRegistry.h
+++ b/include/poison/PoisonRegistry.h
@@ -12,7 +12,7 @@
 
 namespace waxwing {
 
-/** Returns the digest that identifies a poison request, whoever sends it. Thread safe. */
+/** Returns the digest that identifies a poison request. It does not depend on the sender. Thread safe. */
 std::uint64_t requestDigest(const std::string &service, const HttpRequest &request);
 
 /** Crash of a server while it ran a request, as nodes report it to each other. */
@@ -22,9 +22,9 @@
     std::string server;
 };
 
-/** Thread safe. */
+/** Returns the record by which nodes report @p death. Thread safe. */
 Record toRecord(const PoisonDeath &death, WallTime at);
-/** Returns nothing if the record's key is malformed. Thread safe. */
+/** Returns the crash that @p record reports, or nothing if its kind or key is wrong. Thread safe. */
 std::optional<PoisonDeath> poisonDeathFrom(const Record &record);
 
 /**
--- a/src/floor/HomeFloor.cpp
+++ b/src/floor/HomeFloor.cpp
@@ -99,7 +99,7 @@
         if (one.home == self_) {
             continue;
         }
-        // A pledge of a home that has departed or lost its servers keeps nothing in service.
+        // A pledge counts only as far as its home has servers in service. A departed home has none.
         covered += std::min(one.pledge, inServiceOf_(one.home).value_or(0));
     }
     return covered;
@@ -181,8 +181,8 @@
     const double exact = total == 0 ? required : static_cast<double>(required) * mine.capacity / total;
     const auto fair = std::min<std::uint32_t>(mine.capacity, static_cast<std::uint32_t>(exact));
     const std::uint32_t minimum = required > covered ? required - covered : 0;
-    // Shares are rounded down. The home that lowers its pledge last keeps the remainder, because a pledge is lowered
-    // only as far as it and the covered pledges of the others still add up to the floor.
+    // Shares are rounded down. A pledge is lowered only as far as it and the covered pledges of the others still add
+    // up to the floor, so the home that lowers its pledge last keeps the remainder.
     const std::uint32_t wanted = std::max(fair, std::min(minimum, mine.capacity));
     if (wanted == mine.pledge || (wanted < mine.pledge && covered + wanted < required)) {
         return false;
@@ -236,7 +236,8 @@
     table_ = std::move(*current);
     const Pledge *mine = table_.find(self_);
     registered_ = mine != nullptr;
-    // Without an entry: other homes took this home for departed and absorbed its pledge. It registers again.
+    // Without an entry, another home considered this one departed and absorbed its pledge. This home registers
+    // again.
     assumedPledge_ = mine != nullptr ? mine->pledge : capacity_;
 }
 
