--- a/tests/support/HomeRig.h
+++ b/tests/support/HomeRig.h
@@ -135,7 +135,7 @@
     std::uint32_t minInService_ = 0;
 };
 
-/** Accepts the floor's proposals, like a store that always answers. */
+/** Accepts the floor's proposals, like a store that is always reachable. */
 void grantPledges(HomeFloor &floor);
 
 } // namespace waxwing::testing
--- a/tests/support/Scenario.cpp
+++ b/tests/support/Scenario.cpp
@@ -114,7 +114,7 @@
     void finish()
     {
         if (!done()) {
-            throwAt(line_[next_], "unexpected word");
+            throwAt(line_[next_], "unexpected token");
         }
     }
 
@@ -253,7 +253,7 @@
     void service(LineReader &reader, const Token &at)
     {
         if (rig_) {
-            throwAt(at, "there is one service");
+            throwAt(at, "only one service is allowed");
         }
         while (!reader.done()) {
             const Token &key = reader.token();
@@ -288,7 +288,7 @@
                 return;
             }
         }
-        throwAt(token, "care is fast, balanced or careful");
+        throwAt(token, "care must be fast, balanced or careful");
     }
 
     void fail(const Token &at, const std::string &what)
@@ -309,7 +309,7 @@
                 const auto least = static_cast<std::uint32_t>(reader.number());
                 checks_.emplace_back([this, at, least] {
                     if (rig_->minInService() < least) {
-                        fail(at, "in service fell to " + std::to_string(rig_->minInService()));
+                        fail(at, "servers in service fell to " + std::to_string(rig_->minInService()));
                     }
                 });
             } else {
@@ -356,7 +356,7 @@
         }
         for (const Watch &watch : watches_) {
             if (!watch.never && !watch.seen) {
-                fail(watch.at, "did not come true in time");
+                fail(watch.at, "the condition did not hold within the given time");
             }
         }
         for (const auto &check : checks_) {
@@ -386,7 +386,7 @@
         }
         if (watch.never) {
             watch.seen = true;
-            fail(watch.at, "came true at " + durationText(now));
+            fail(watch.at, "the condition held at " + durationText(now));
         } else if (now >= watch.from && now <= watch.from + watch.within) {
             watch.seen = true;
         }
--- a/tests/unit/DecisionsTest.cpp
+++ b/tests/unit/DecisionsTest.cpp
@@ -219,7 +219,7 @@
 TEST_CASE("service home, load above capacity, refuses early and keeps its goodput")
 {
     // At twice the capacity, an unbounded queue makes every response late. Requests that would miss their deadline must
-    // be refused at once, with a time to retry, and the others must be answered.
+    // be refused at once, with a time to retry, and the others must get a response.
     RigOptions options;
     options.servers = 4;
     options.rate = 400;
@@ -228,8 +228,8 @@
     options.floor = CapacityFloor{4, 0.0};
     HomeRig rig(options);
     rig.runUntil(std::chrono::seconds(60));
-    const double answered = static_cast<double>(rig.good + rig.late) / 60.0;
-    CHECK(answered > 160.0);
+    const double completedPerSecond = static_cast<double>(rig.good + rig.late) / 60.0;
+    CHECK(completedPerSecond > 160.0);
     CHECK(rig.refused > 8000);
     CHECK(rig.failed * 20 < rig.good + rig.late);
     CHECK(rig.ejections().empty());
--- a/tests/unit/HomeFleetTest.cpp
+++ b/tests/unit/HomeFleetTest.cpp
@@ -26,8 +26,8 @@
 
 } // namespace
 
-// Guards against refusals while every home would serve the request in time: in a large fleet a request went from one
-// busy home to the next until it had used up its sends.
+// Guards against refusals while every home would serve the request before its deadline: in a large fleet a request went
+// from one busy home to the next until it had used up its sends.
 TEST_CASE("home fleet, burst of a fifth above all slots, refuses few requests in a fleet of any size")
 {
     constexpr double burstFactor = 2.4;
--- a/tests/unit/HomeFloorTest.cpp
+++ b/tests/unit/HomeFloorTest.cpp
@@ -147,7 +147,7 @@
             refresh(home);
             return true;
         case 6:
-            // Cut off or paused: other homes take it for departed although its servers still serve.
+            // Cut off or paused: other homes consider it departed although its servers still serve.
             if (!home.up) {
                 return false;
             }
@@ -242,7 +242,7 @@
 TEST_CASE("floor, every interleaving of three homes and four servers, is never violated")
 {
     // Three homes see unhealthy servers and get no messages from each other. Writes arrive late, their replies are
-    // lost, a home is paused and taken for departed, another one absorbs its pledge, and then it resumes and continues
+    // lost, a home is paused and considered departed, another one absorbs its pledge, and then it resumes and continues
     // to eject. In any order, at least two of the four servers must stay in service.
     constexpr std::uint32_t required = 2;
     World fresh(required, {2, 1, 1});
--- a/tests/unit/HomeRankingTest.cpp
+++ b/tests/unit/HomeRankingTest.cpp
@@ -73,7 +73,7 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, home without a report for a second, is tried by retryable work")
 {
-    // Each sender kept using the homes that had reported low load. Homes without a report got no work for many seconds
+    // Each sender kept using the homes whose last report was good. Homes without a report got no work for many seconds
     // although their servers were healthy, while others were full: fewer servers than the floor's share were in use.
     load("a1", 3, Millis(0), 0.002);
     load("a2", 3, Millis(0), 0.4);
@@ -148,16 +148,16 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, only home behind a failed path, allows a wait up to the deadline")
 {
-    // A link fell silent, and three of six requests that were retried over a new link found no free slot. The failed
-    // path counted against waiting there although there was no other home, so they were refused.
+    // A link stopped delivering, and three of six requests that were retried over a new link found no free slot. The
+    // failed path counted against waiting there although there was no other home, so they were refused.
     ranking.notePathFailure("a1");
     CHECK(choose(false, {"a2", "b1", "far"}).queueTimeout >= Millis(2000));
 }
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, new server at low load, is tried by retryable work")
 {
-    // Servers that joined got no work for the rest of the day, because the known servers were healthy and had room, and
-    // an unknown one might have been gray.
+    // Servers that joined got no work for the rest of the day, because the known servers were healthy and had free
+    // slots, and an unknown one might have been gray.
     load("a1", 3, Millis(0), 0.01);
     CHECK(choose(true).node == "a2");
     CHECK(choose(false).node == "a1");
@@ -219,7 +219,7 @@
 TEST_CASE_FIXTURE(FourHomes, "home ranking, failed path, stays last until a probe succeeds")
 {
     // A VM was lost permanently. Every sender lost a request there, waited a second, and lost the next one, since the
-    // outcome of a request is unknown once its home is gone. Only a probe may find out whether the VM is back.
+    // outcome of a request is unknown once its home is lost. Only a probe may find out whether the VM is back.
     ranking.notePathFailure("a1");
     now += std::chrono::seconds(20);
     CHECK(choose(false, {"a2"}).node == "b1");
--- a/tests/unit/LocalServerTest.cpp
+++ b/tests/unit/LocalServerTest.cpp
@@ -9,7 +9,7 @@
 /** The server beside this node and its announcements. */
 struct LocalServerFixture {
     Announcement announcement(const std::string &id, std::uint64_t incarnation, std::uint64_t sequence,
-                              ServerState server = ServerState::Serving)
+                              ServerState serverState = ServerState::Serving)
     {
         Announcement out;
         out.service = "desk";
@@ -19,7 +19,7 @@
         out.port = 8080;
         out.slots = 3;
         out.sequence = sequence;
-        out.state = server;
+        out.state = serverState;
         return out;
     }
 
--- a/tests/unit/SlotQueueTest.cpp
+++ b/tests/unit/SlotQueueTest.cpp
@@ -99,7 +99,7 @@
     CHECK(queue.poll(now).start == std::vector<std::uint64_t>{urgent.id});
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, request already late, goes behind requests that can be in time")
+TEST_CASE_FIXTURE(OneServer, "slot queue, request already late, starts after requests that can meet their objective")
 {
     fill();
     SlotRequest late = request("read", true, 1);
@@ -185,7 +185,7 @@
     CHECK(std::count(result.expired.begin(), result.expired.end(), booking.id) == 1);
 }
 
-TEST_CASE_FIXTURE(OneServer, "slot queue, late request at a home with room, continues to wait")
+TEST_CASE_FIXTURE(OneServer, "slot queue, late request with no other ahead, continues to wait")
 {
     fill();
     SlotRequest booking = request("book", false);
@@ -336,11 +336,11 @@
 TEST_CASE("gray filter, no evidence after a failure, returns to the stationary probability")
 {
     GrayFilter filter;
-    const double usual = filter.grayProbability(start);
+    const double stationary = filter.grayProbability(start);
     filter.addFailure(150.0, start);
     CHECK(filter.grayProbability(start) > 0.9);
     CHECK(filter.grayProbability(start + std::chrono::seconds(3)) < filter.grayProbability(start));
-    CHECK(filter.grayProbability(start + std::chrono::seconds(60)) == doctest::Approx(usual).epsilon(0.01));
+    CHECK(filter.grayProbability(start + std::chrono::seconds(60)) == doctest::Approx(stationary).epsilon(0.01));
 }
 
 TEST_CASE("gray filter, long phase, is expected to last as long again")
@@ -380,7 +380,7 @@
         busy.addSuccess(start);
     }
     busy.addFailure(50.0, start);
-    GrayFilter silent;
-    silent.addFailure(50.0, start);
-    CHECK(busy.grayProbability(start) < silent.grayProbability(start));
+    GrayFilter withoutEvidence;
+    withoutEvidence.addFailure(50.0, start);
+    CHECK(busy.grayProbability(start) < withoutEvidence.grayProbability(start));
 }
