--- a/src/health/Detector.cpp
+++ b/src/health/Detector.cpp
@@ -17,7 +17,7 @@
  * Log-likelihood ratio of one more step of waiting, about ln 2: at a healthy server about half of the late requests end
  * within it.
  */
-constexpr double stillWaitingRatio = 0.65;
+constexpr double stillWaitingLogRatio = 0.65;
 
 constexpr Millis minLateStep{25};
 constexpr Millis maxLateStep{110};
@@ -145,7 +145,7 @@
         break;
     case Evidence::StillWaiting:
         // If the peers are late as well, further waiting is weak evidence about this server.
-        step = stillWaitingRatio * std::max(0.0, 1.0 - healthy * 2.0);
+        step = stillWaitingLogRatio * std::max(0.0, 1.0 - healthy * 2.0);
         break;
     }
     // The cap lets an unhealthy server that the floor keeps in service recover soon with good results.
--- a/src/home/ServiceHome.cpp
+++ b/src/home/ServiceHome.cpp
@@ -20,8 +20,8 @@
 
 double decay(SteadyTime since, SteadyTime now)
 {
-    const double halves = std::chrono::duration<double>(now - since) / std::chrono::duration<double>(resultHalfLife);
-    return std::exp2(-std::max(0.0, halves));
+    const double halfLives = std::chrono::duration<double>(now - since) / std::chrono::duration<double>(resultHalfLife);
+    return std::exp2(-std::max(0.0, halfLives));
 }
 
 std::string decimal(double value)
@@ -82,8 +82,8 @@
 
 bool ServiceHome::isPresent(const Server &server, SteadyTime now) const
 {
-    const bool silent = now - server.lastAnnounced >= tuning_.announceTimeout;
-    return !server.dead && !silent && server.announced.state == ServerState::Serving;
+    const bool overdue = now - server.lastAnnounced >= tuning_.announceTimeout;
+    return !server.dead && !overdue && server.announced.state == ServerState::Serving;
 }
 
 bool ServiceHome::isHealthy(const Server &server, SteadyTime now) const
@@ -170,14 +170,14 @@
     // A slow class holds its slots for long. Without a limit it gradually takes all of them, and a fast class waits for
     // its slow work. A fast class frees its slots soon and needs no limit.
     const Duration workTime = found->second.workTime;
-    const bool besideFaster = std::any_of(classes_.begin(), classes_.end(), [&](const auto &entry) {
+    const bool fasterClassActive = std::any_of(classes_.begin(), classes_.end(), [&](const auto &entry) {
         const bool recent = now - entry.second.lastSeen < tuning_.activeClassWindow;
         const bool faster =
             entry.second.workTime > Duration(0) && entry.second.workTime * tuning_.slowClassFactor < workTime;
         return entry.first != className && recent && faster;
     });
     const double allowed = std::max(1.0, std::floor(tuning_.slowClassShare * totalUsableSlots(now)));
-    return !besideFaster || found->second.inFlight + 1 <= allowed;
+    return !fasterClassActive || found->second.inFlight + 1 <= allowed;
 }
 
 void ServiceHome::assign(Server &server, std::uint64_t id, const std::string &className)
@@ -434,8 +434,8 @@
                              it->first,
                              {{"from", serverPhaseName(before)}, {"to", serverPhaseName(server.health.phase())}}});
         }
-        const bool forget = now - server.lastAnnounced >= tuning_.removeAfter && server.inFlight == 0;
-        if (forget) {
+        const bool expired = now - server.lastAnnounced >= tuning_.removeAfter && server.inFlight == 0;
+        if (expired) {
             decisions.push_back(HomeDecision{"server_forgotten", it->first, {}});
             it = servers_.erase(it);
         } else {
--- a/src/route/HomeRanking.cpp
+++ b/src/route/HomeRanking.cpp
@@ -324,8 +324,8 @@
 void HomeRanking::keepOnly(const std::set<std::string> &known)
 {
     for (auto it = homes_.begin(); it != homes_.end();) {
-        const bool forget = known.count(it->first) == 0 && it->second.inFlight == 0;
-        it = forget ? homes_.erase(it) : std::next(it);
+        const bool obsolete = known.count(it->first) == 0 && it->second.inFlight == 0;
+        it = obsolete ? homes_.erase(it) : std::next(it);
     }
 }
 
