--- a/include/floor/HomeFloor.h
+++ b/include/floor/HomeFloor.h
@@ -31,7 +31,7 @@
     void set(const Pledge &pledge);
     void erase(const NodeRef &home);
     std::string json() const;
-    /** Errors: Malformed. Thread safe. */
+    /** Parses the JSON text of a table. Errors: Malformed. Thread safe. */
     static Expected<PledgeTable> parse(std::uint64_t version, const std::string &json);
 };
 
--- a/include/limit/TokenBucket.h
+++ b/include/limit/TokenBucket.h
@@ -12,7 +12,7 @@
     TokenBucket(double perSecond, double burst, SteadyTime now);
     /** Takes @p tokens. Returns false and takes none if there are fewer. */
     bool tryTake(double tokens, SteadyTime now);
-    /** Like tryTake(), but only if at least @p minTokens are there. */
+    /** Takes @p tokens like tryTake(), but only if at least @p minTokens are there. */
     bool tryTakeAbove(double tokens, double minTokens, SteadyTime now);
     /** Takes @p tokens even if the balance becomes negative, for costs known only afterwards. */
     void take(double tokens, SteadyTime now);
