--- a/src/sidecar/Forwarder.cpp
+++ b/src/sidecar/Forwarder.cpp
@@ -27,7 +27,7 @@
 constexpr Millis minHedgeDelay{120};
 /** A hedge starts at the latest after this fraction of the response time objective, while it can still help. */
 constexpr double maxHedgeFraction = 0.75;
-/** A request is refused without asking a home only on load data this recent: a round trip between regions. */
+/** A request is refused without being sent only on a load report at most this old: a round trip between regions. */
 constexpr Millis maxFreshLoadAge{100};
 constexpr Millis minRetryAfter{300};
 constexpr Millis minTimeLeft{5};
@@ -35,7 +35,7 @@
 constexpr double stopWorkFactor = 2.0;
 constexpr Millis minStopReserve{500};
 constexpr Millis maxStopReserve{3000};
-/** Time for a home to answer a Cancel: a round trip between regions, with a margin for a busy home. */
+/** Time for a home to reply to a Cancel: a round trip between regions, with a margin for a busy home. */
 constexpr Millis cancelReplyTimeout{120};
 
 Millis toMillis(Duration value)
@@ -73,7 +73,7 @@
     bool hasLostAttempt = false;
     /** A retry was allowed but no home accepted it. */
     bool noOtherHome = false;
-    /** The node stops: attempts in a queue are cancelled and no further home is tried. */
+    /** This node is stopping: queued attempts are cancelled and no further home is tried. */
     bool queuedCancelled = false;
     bool finished = false;
 };
@@ -220,7 +220,7 @@
         attempt->control->onOutcomeUnknown = {};
         if (kind != AttemptKind::First && !attempt->reachedServer) {
             retryBudgets_.refund(retryCostOf(*run));
-            // Another retry would ask the same homes, which have all refused.
+            // Another retry would try the same homes, which have all refused.
             run->noOtherHome = run->noOtherHome || kind == AttemptKind::Retry;
         }
         run->notifier.notify();
@@ -329,7 +329,7 @@
     attempt->reachedServer = attempt->reachedServer || reply.reachedServer || reply.outcome == Outcome::Unknown;
     const bool refused = reply.outcome == Outcome::NotRun && !reply.reachedServer;
     if (refused) {
-        // The refusal updates the load of the home, which may still be the best choice.
+        // The home may be chosen again: by the load that its refusal reported it may still be the best one.
         run->reachedHomes.erase(choice.node);
         // A fenced Work never runs, and the new link that carried the fence reply may carry the next Work.
         const bool reachable = !result.pathFailed || reply.reason == fencedReason;
@@ -433,7 +433,8 @@
     }
     retryBudgets_.noteRequest(job.service);
     if (run->nestedCall) {
-        // A late response can still let the parent request finish in time; no response fails the parent.
+        // A response after the objective can still let the request that waits for it meet its deadline. Without a
+        // response that request fails.
         run->objective = job.deadline;
     }
     job.control->interrupt = [run] { run->notifier.notify(); };
--- a/src/sidecar/Forwarder.h
+++ b/src/sidecar/Forwarder.h
@@ -61,7 +61,7 @@
     /** Drops the state of nodes that are no longer in the registry. */
     void registryChanged();
     /**
-     * Sets when the node exits. A request that has not started when too little time is left to answer it before
+     * Sets when the node exits. A request that has not started when too little time is left to complete it before
      * @p deadline is refused as not run, so that its caller can retry elsewhere. Otherwise its connection would close
      * without a response and the caller would not know whether it ran.
      */
@@ -80,7 +80,7 @@
     struct Attempt {
         RunControlPtr control;
         bool ended = false;
-        /** Its home can't be reached to query the outcome. */
+        /** No node could report the outcome. */
         bool outcomeUnknown = false;
         WorkReply reply;
         std::string home;
@@ -121,14 +121,17 @@
     RetryReason retryReasonOf(const Run &run) const;
     /** Returns true if the request can be retried when the next attempt fails. */
     bool canRetry(const Run &run) const;
-    /** Returns the latest time at which the request may still be started here; max() unless the node stops. */
+    /** Returns the time from which on no attempt is started any more; max() unless this node is stopping. */
     SteadyTime latestStart(const Run &run) const;
     void cancelQueued(Run &run);
     /** Takes the tokens for one more attempt from the retry budget. Returns false if the attempt must not be made. */
     bool reserveRetry(Run &run, RetryReason reason, const char *why);
     void updateStats(const std::string &route, const WorkReply &reply);
     ForwardResult finish(const RunPtr &run, const WorkReply &reply);
-    /** @p immediately: does not wait for the homes to confirm that queued requests have not run. */
+    /**
+     * Cancels all attempts and returns how the request ended. Unless @p immediately, first waits for the homes to
+     * confirm that queued requests have not run.
+     */
     ForwardResult finishTimedOut(const RunPtr &run, bool immediately);
 
     NodeCore &core_;
