--- a/src/sidecar/FenceService.cpp
+++ b/src/sidecar/FenceService.cpp
@@ -17,7 +17,7 @@
 constexpr Millis forwardTimeout{800};
 /** Timeout for fetching a large reply over one path. */
 constexpr Millis fetchTimeout{4000};
-/** Larger bodies are not included unless requested: a query over three paths would transfer the reply three times. */
+/** Larger bodies are sent only on request: a query over three paths would transfer the reply three times. */
 constexpr std::size_t maxInlineBodyBytes = 8UL * 1024;
 
 } // namespace
--- a/src/sidecar/FenceService.h
+++ b/src/sidecar/FenceService.h
@@ -29,8 +29,8 @@
 
 /**
  * Finds out the outcome of a Work for which no reply arrives: queries its home over a new link and through relays, all
- * in parallel. The sender can't tell a silent link, a path that fails in one direction and a lost reply apart. Only the
- * home has the outcome, and at least one path to it nearly always works. Not thread safe.
+ * in parallel. A link that no longer delivers, a path that fails in one direction and a lost reply look the same to the
+ * sender. Only the home has the outcome, and at least one path to it nearly always works. Not thread safe.
  */
 class FenceService
 {
@@ -41,10 +41,10 @@
     FenceService(NodeCore &core, FenceHandler fenceLocally);
 
     /**
-     * Queries the outcome over @p path, or over all paths if @p path is empty or gets no reply, and stores in @p path
-     * the link that replied. Unless @p queryOnly, prevents the Work from starting if it has not started yet. Returns
-     * NotKnown if no reply arrived within @p timeout. A large reply that is ready is fetched within @p left.
-     * @pre called from a fiber.
+     * Queries the state of @p work over @p path, then over all paths if @p path is empty or the result is NotKnown, and
+     * stores in @p path the link whose reply is returned. Unless @p queryOnly, prevents the Work from starting if it
+     * has not started yet. Returns NotKnown if no reply with another state arrives; each of the two queries takes up to
+     * @p timeout. A large reply that is ready is fetched within @p left. @pre called from a fiber.
      */
     FenceReply query(const SentWork &work, FencePath &path, bool queryOnly, Duration timeout, Duration left);
     /** Queries the outcome over the open link @p link. @pre called from a fiber. */
--- a/src/sidecar/WorkSender.cpp
+++ b/src/sidecar/WorkSender.cpp
@@ -17,7 +17,7 @@
  */
 constexpr Millis openTimeoutSameRegion{200};
 constexpr Millis openTimeoutOtherRegion{450};
-/** A timer this late shows that the node was busy; received messages may have been unread for as long as the lag. */
+/** A timer that fires this late shows that the node was busy. Received messages may have been unread as long. */
 constexpr Millis minTimerLag{20};
 /** Longest extension of a timeout for a late timer. */
 constexpr Millis maxTimerLag{300};
--- a/src/sidecar/WorkSender.h
+++ b/src/sidecar/WorkSender.h
@@ -50,17 +50,17 @@
     SendResult pathFailure(std::uint64_t id, const std::string &reason) const;
     /** Reports the failure to the path monitor at once, long before the send that detected it ends. */
     void noteFailedPath(Pending &pending, const SentWork &sent);
-    /** Returns false if no acknowledgement arrived in time. */
+    /** Returns false if no acknowledgement arrived within the path's reply timeout, extended if the timer was late. */
     bool awaitAck(Pending &pending, const SentWork &sent, SteadyTime deadline);
     void awaitReply(Pending &pending, const SentWork &sent, SteadyTime deadline);
-    /** Queries the home over a link that has been idle. Returns false if no reply arrived. */
+    /** Queries the home over the link of the Work, which has been idle. Returns false if no reply arrived. */
     bool queryProgress(Pending &pending, const SentWork &sent, SteadyTime deadline);
     /**
-     * Queries the home over all paths until the outcome is known or the deadline has passed. @p fence: prevents the
-     * Work from starting if it has not started yet.
+     * Queries the home over all paths, since the one in use has failed, until the outcome is known or the deadline has
+     * passed. @p fence: prevents the Work from starting if it has not started yet.
      */
     void resolveOutcome(Pending &pending, const SentWork &sent, SteadyTime deadline, bool fence);
-    /** Records an acknowledgement, or a reply without one before it, as a round trip time sample of the path. */
+    /** Marks the Work as acknowledged. The first ack, or a reply before it, is a round trip time sample of the path. */
     void noteAck(Pending &pending);
     void logFenceReply(const Pending &pending, const SentWork &sent, const FenceReply &fenceReply) const;
 
