--- a/src/sidecar/LocalHome.cpp
+++ b/src/sidecar/LocalHome.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** Also the interval at which old results are evicted. */
+/** Longest time between two polls of the queue, and between two evictions of old results. */
 constexpr Millis maxPollInterval{1000};
 constexpr Millis minPollInterval{1};
 /** How long the result of a Work is kept. A sender queries it within its deadline, and most deadlines are shorter. */
@@ -22,14 +22,17 @@
 constexpr std::size_t maxRetainedResults = 2000;
 /** Longest time that a Fence may be in transit. */
 constexpr Millis maxFenceTransit{1500};
-/** Total size limit for kept responses larger than the threshold: three seconds of traffic on a 13 Mbit/s link. */
+/**
+ * Total size limit for the large responses that are kept for senders' queries: three seconds of traffic on a 13 Mbit/s
+ * link.
+ */
 constexpr std::size_t largeResponseBytes = 16UL * 1024;
 constexpr std::size_t maxLargeResponseBytes = 5UL * 1024 * 1024;
-/** No server can answer in less time than this. */
+/** No server can respond in less time than this. */
 constexpr Millis minTimeLeft{5};
 /** Maximum idle time of a reused connection: servers close theirs after about ten seconds, some sooner. */
 constexpr Millis maxIdle{5000};
-/** The same for work that can't be retried, which uses only a recently used connection or a new one. */
+/** The same for work that can't be retried (not idempotent): it uses a recently used connection or a new one. */
 constexpr Millis maxIdleNonIdempotent{2500};
 /** How much more likely a gray server is than a healthy one to send no response by the deadline. */
 constexpr double timeoutLikelihoodRatio = 8.0;
@@ -90,7 +93,7 @@
                 + std::to_string(heartbeat->sequence) + " of " + heartbeat->server;
     } else if (const auto &deregistration = (*call)->deregistration) {
         change = server_.deregister(deregistration->serverId, deregistration->incarnation);
-        cause = "farewell of " + deregistration->serverId;
+        cause = "deregistration of " + deregistration->serverId;
     }
     if (change == ServerChange::Ignored) {
         core_.metrics.count("heartbeats_ignored");
@@ -416,7 +419,7 @@
         return;
     }
     if (error.failure == ExchangeFailure::Timeout) {
-        // A timeout on a route that has never completed here is no evidence against the server.
+        // On a route none of whose requests has completed here, a timeout is no evidence against the server.
         const bool hasSamples = queue_.hasWorkTime(job.work.route);
         if (hasSamples && processingTime > timeoutWorkFactor * queue_.expectedWorkTime(job.work.route)) {
             queue_.addEvidence(timeoutLikelihoodRatio, now);
@@ -433,8 +436,8 @@
 
 bool LocalHome::detectCrash(const Job &job)
 {
-    // A poison request crashes every server that runs it, and its caller retries it. Unlike after a broken connection,
-    // no process listens at the server's address any more.
+    // A poison request crashes every server that runs it, and its caller retries it. A crash differs from a broken
+    // connection in that no process listens at the server's address any more.
     const Announcement *latest = server_.latest();
     if (latest == nullptr) {
         return false;
@@ -477,7 +480,7 @@
     FenceReply reply;
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
-        // A Work sent before the end of an evicted one may have run, ended and been evicted as well.
+        // If the Work was sent before the latest evicted one ended, it may have run and been evicted as well.
         const SteadyTime sentAt = core_.clock.now() - workAge - maxFenceTransit;
         if (!queryOnly && sentAt > evictedUntil_) {
             entries_[key].phase = Phase::Fenced;
--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -56,7 +56,8 @@
     void cancel(const WorkKey &key);
     /**
      * Returns the state of a Work that was sent @p workAge before the query. Unless @p queryOnly, a Work that has not
-     * started never starts after this. Returns NotKnown if its result may have been evicted.
+     * started never starts after this. Returns NotKnown for a Work that is not recorded here if @p queryOnly is set or
+     * its result may have been evicted.
      */
     FenceReply fence(const WorkKey &key, bool queryOnly, Duration workAge);
     /** Returns true if the work is queued or running here. */
@@ -69,7 +70,7 @@
     std::size_t inProgressCount() const;
     /** Records a request of @p route for @p service from this VM: from a caller, or from the server itself. */
     void noteArrival(const std::string &route, const std::string &service);
-    /** Records that the home on another node classifies requests of @p route as nested calls. */
+    /** Records that a home, which receives requests from many VMs, classifies those of @p route as nested calls. */
     void noteNestedCall(const std::string &route);
     /** Returns true if requests of @p route from this VM are classified as nested calls of the server here. */
     bool isNestedCall(const std::string &route) const;
@@ -77,7 +78,7 @@
     std::optional<int> callerRank(const std::string &service) const;
     /** Records a failed nested call: the work that made it may fail for that reason, without a fault of the server. */
     void noteFailedCall(const std::string &route, const std::string &service);
-    /** Returns true if the server has deregistered or is draining. */
+    /** Returns true if the server has announced itself but accepts no work, as when it drains or has deregistered. */
     bool serverLeft() const;
 
 private:
@@ -102,7 +103,7 @@
     };
     struct Job;
 
-    /** Returns the share of the VMs of @p zone whose server belongs to one of @p services, by the registry. */
+    /** Returns the share of the VMs of @p zone whose server belongs to one of @p services. */
     double zoneShare(const std::string &zone, const std::set<std::string> &services) const;
     void noteOrigin(const WorkKey &key, const std::string &route);
     void serverChanged(ServerChange change, const std::string &cause);
@@ -113,7 +114,7 @@
     void dispatch(Job &job);
     void handleResponse(Job &job, const tl::expected<HttpResponse, ExchangeError> &response, Duration processingTime);
     void handleFailure(Job &job, const ExchangeError &error, Duration processingTime);
-    /** Returns true, and records the request as fatal, if the server's process ended while it ran the request. */
+    /** Returns true, and records a crash by this request, if the server's process ended while it ran the request. */
     bool detectCrash(const Job &job);
     WorkReply refusal(const Job &job, const std::string &reason) const;
     void storeResult(const WorkKey &key, const WorkReply &reply);
