--- a/src/sidecar/CallerHandler.h
+++ b/src/sidecar/CallerHandler.h
@@ -18,7 +18,7 @@
     explicit CallerHandler(NodeCore &core);
     /** Runs a caller's request and returns the response. @pre called from a fiber. */
     HttpReply handle(HttpRequest request, const CallerWatchPtr &caller);
-    /** Answers the platform's readiness check. */
+    /** Handles the platform's readiness check. */
     HttpReply handleReadiness(const HttpRequest &request);
     /** Resets the load balancing state after a configuration change. */
     void configChanged();
--- a/src/sidecar/RetryBudgetService.h
+++ b/src/sidecar/RetryBudgetService.h
@@ -44,7 +44,7 @@
      * nodes first. Returns false, and takes nothing, if there are too few. @pre called from a fiber.
      */
     bool spend(const CallRates &tokens, RetryReason reason);
-    /** Returns @p tokens to the budget for an attempt that did not reach a server. */
+    /** Puts @p tokens that were taken for an attempt back into the budget, because no server received it. */
     void refund(const CallRates &tokens);
 
     /** Handles a transfer request from another node and replies on @p link. */
@@ -61,9 +61,12 @@
 
     bool has(const CallRates &tokens, RetryReason reason) const;
     void debit(const CallRates &tokens);
-    /** Asks nodes of this region for transfers, one after the other, until @p tokens of @p service are available. */
+    /**
+     * Requests transfers from some nodes of this region, one after the other, until @p tokens of @p service are
+     * available.
+     */
     void requestTransfers(const std::string &service, double tokens, RetryReason reason);
-    /** Returns the number of tokens that @p donor transferred; 0 if it can't be reached or does not reply in time. */
+    /** Returns the number of tokens that @p donor transferred; 0 if no reply arrived before the timeout. */
     double requestTransfer(const RegistryEntry &donor, const std::string &service, double tokens, RetryReason reason);
     std::vector<RegistryEntry> transferCandidates() const;
     FleetRetryBudget &budgetOf(const std::string &service);
