--- a/tests/unit/FleetRetryBudgetTest.cpp
+++ b/tests/unit/FleetRetryBudgetTest.cpp
@@ -31,7 +31,10 @@
     return taken;
 }
 
-/** Runs @p count works of each of two routes, two at a time. Only "parent" makes nested calls. */
+/**
+ * Runs @p count works of "parent", each of which makes one nested call. Works of "single", which makes none, run beside
+ * every second one and after each. A caller's request follows while the server is idle.
+ */
 void trainTracker(NestedCallTracker &tracker, int count)
 {
     std::uint64_t id = 0;
@@ -185,7 +188,7 @@
 
 TEST_CASE("nested call tracker, call fails, is attributed to the work that made it and to no other")
 {
-    // Guards against a healthy server that is taken for gray: a calendar server answers 500 because its nested call to
+    // Guards against a healthy server that is taken for gray: a calendar server returns 500 because its nested call to
     // the records service failed. Counted against the calendar server, that sent bookings elsewhere.
     NestedCallTracker tracker;
     trainTracker(tracker, 50);
@@ -203,7 +206,8 @@
 {
     // Guards against misclassification under high load: the server always runs something, so callers' requests arrive
     // while it is busy, as its nested calls do. Classified as nested calls, they all had the highest priority and their
-    // deadline as objective. The queue lost its order, and late work was served before work that could be in time.
+    // deadline as objective. The queue lost its order, and late work was served before work that could still meet its
+    // objective.
     NestedCallTracker tracker;
     tracker.begin(1, "booking", 1, start);
     for (int i = 0; i < 500; ++i) {
@@ -279,8 +283,8 @@
 TEST_CASE("nested call tracker, first executions of a route, yield its call rate")
 {
     // Guards against uncharged nested calls after a start with gray servers: calendar requests are retried from the
-    // first second on, before their homes have enough samples of the call rate. The repeated calls then brought the
-    // service 243 arrivals beyond the first, where 200 were allowed.
+    // first second on, before their homes have enough samples of the call rate. The called service then received
+    // 243 repeated requests, where 200 were allowed.
     NestedCallTracker tracker;
     for (std::uint64_t id = 1; id <= 3; ++id) {
         tracker.begin(id, "parent", 1, start);
--- a/tests/unit/RetryBudgetTransferTest.cpp
+++ b/tests/unit/RetryBudgetTransferTest.cpp
@@ -18,7 +18,7 @@
 struct SimulatedLoad {
     std::size_t nodes = 0;
     double requestsPerTickAndNode = 0.0;
-    /** Share of the attempts that fail, and for how long they do. */
+    /** Share of the attempts that fail during @c duration. */
     double failedShare = 0.0;
     Millis duration{0};
     /** Per request, the first one included. */
