--- a/tests/integration/GrayTest.cpp
+++ b/tests/integration/GrayTest.cpp
@@ -41,7 +41,7 @@
 TEST_CASE("server, stalls while its health checks pass, is ejected and returns after it recovers")
 {
     // A server stalls every lookup that it receives while its health check passes; only real requests show the failure.
-    // It must be ejected, its requests must be answered elsewhere, and it must return to service after it recovers.
+    // It must be ejected, its requests must be served by others, and it must return to service after it recovers.
     Fleet fleet;
     bool stop = false;
     std::map<std::string, int> seen;
@@ -73,7 +73,8 @@
 TEST_CASE("floor, more unhealthy servers than may be ejected, keeps the floor in service")
 {
     // Three of six servers stall at once, and the floor is five servers. One may be ejected. The others must stay,
-    // since a service with too few servers refuses requests. The node reports that it kept them, and why.
+    // since a service with too few servers refuses requests. The node also reports that it kept them and why,
+    // which is not checked here.
     FleetOptions options;
     options.floor = "5 servers";
     Fleet fleet(options);
--- a/tests/integration/RetryTest.cpp
+++ b/tests/integration/RetryTest.cpp
@@ -47,7 +47,8 @@
 }
 
 // Guards against a reply that is ready at a home but never fetched, because the first queries did not reach the home.
-TEST_CASE_FIXTURE(SingleHome, "retry, reply held back by a path failure that heals in time, reaches the caller")
+TEST_CASE_FIXTURE(SingleHome,
+                  "retry, reply held back by a path failure that heals before the timeout, reaches the caller")
 {
     unsigned status = 0;
     runConcurrently({[&] {
--- a/tests/integration/SidecarTest.cpp
+++ b/tests/integration/SidecarTest.cpp
@@ -56,7 +56,7 @@
 
 TEST_CASE("mesh, gray server, idempotent requests are served elsewhere and bookings soon avoid it")
 {
-    // One server answers 500 at once while its health checks pass. No lookup may fail. At most the first booking may be
+    // One server returns 500 at once while its health checks pass. No lookup may fail. At most the first booking may be
     // lost, since bookings can't be retried.
     Mesh mesh;
     mesh.setServerMode(0, {{"mode", "errors"}});
@@ -81,12 +81,12 @@
     }
 }
 
-TEST_CASE("mesh, link goes silent, its bookings run once and are answered in time")
+TEST_CASE("mesh, open link stops delivering, its bookings run once and are answered before the timeout")
 {
-    // Guards against a booking that runs twice and is billed twice. An open link goes silent without a reset, while new
-    // connections work. A booking sent over it gets no acknowledgement; over a new link the sender learns that it has
-    // not run, fences it and sends it again. Two seconds later the old link delivers its bytes: the first booking must
-    // not run.
+    // Guards against a booking that runs twice and is billed twice. An open link stops delivering without a reset,
+    // while new connections work. A booking sent over it gets no acknowledgement; its sender fences it over a new link,
+    // learns that it has not run and sends it again. Two seconds later the old link delivers its bytes: the first
+    // booking must not run.
     MeshOptions options;
     options.services = {"other", "desk", "other"};
     options.proxies = true;
@@ -111,11 +111,12 @@
     CHECK(mesh.log(0).find("event=fate_asked") != std::string::npos);
 }
 
-TEST_CASE("mesh, home goes silent for good, loses only the bookings sent before that is detected")
+TEST_CASE("mesh, home stops responding for good, loses only the bookings sent before that is detected")
 {
-    // Guards against more bookings sent to a lost VM. The outcome of a booking in progress there can't be known, and
-    // its sender queries it until its deadline. The path was marked as failed only then, so all bookings sent there
-    // within two seconds were lost as well, although the first missing acknowledgement showed the failure after 0.15 s.
+    // Guards against bookings that are still sent to a lost VM. The outcome of a booking in progress there can't be
+    // known, and its sender queries it until its deadline. The path was marked as failed only then, so all bookings
+    // sent there within two seconds were lost as well, although the first missing acknowledgement showed the failure
+    // after 0.15 s.
     MeshOptions options;
     options.services = {"other", "desk", "desk"};
     options.proxies = true;
@@ -144,7 +145,7 @@
     }
 }
 
-TEST_CASE("mesh, one node detects a silent home, others avoid it without losing a booking")
+TEST_CASE("mesh, one node detects an unresponsive home, others avoid it without losing a booking")
 {
     // Guards against each node detecting a lost home by a lost booking of its own. When a fleet of a hundred nodes lost
     // sixteen VMs at once, that left hundreds of bookings with an unknown outcome, although the first senders had
@@ -286,7 +287,7 @@
     CHECK(mesh.node(1).waitForExit(std::chrono::seconds(8)) == 0);
 }
 
-TEST_CASE("mesh, node stops while bookings are queued, refuses them in time and they never run")
+TEST_CASE("mesh, node stops while bookings are queued, refuses them before it exits and they never run")
 {
     // The service's only server is busy for longer than the shutdown may take. Bookings queued for it through the
     // stopping node ended with a closed connection, so their callers did not know whether they had run.
