--- a/tests/support/Mesh.cpp
+++ b/tests/support/Mesh.cpp
@@ -73,15 +73,16 @@
     store_ = Endpoint{"127.0.0.1", storeProcess_->waitForPrintedNumber("port")};
     for (std::size_t i = 0; i < options_.services.size(); ++i) {
         Member member;
-        for (Endpoint *one : {&member.callers, &member.links, &member.control, &member.readiness, &member.app}) {
+        for (Endpoint *one :
+             {&member.callers, &member.links, &member.control, &member.readiness, &member.serverAddress}) {
             *one = freeEndpoint();
         }
-        member.proxied = member.links;
+        member.advertisedLinks = member.links;
         if (options_.proxies) {
             member.proxy = std::make_unique<Process>("tests/standins/standin-faultproxy",
                                                      std::vector<std::string>{"--target", member.links.text()},
                                                      directory_ + "/proxy" + std::to_string(i) + ".log");
-            member.proxied = Endpoint{"127.0.0.1", member.proxy->waitForPrintedNumber("port")};
+            member.advertisedLinks = Endpoint{"127.0.0.1", member.proxy->waitForPrintedNumber("port")};
             member.proxyControl = Endpoint{"127.0.0.1", member.proxy->waitForPrintedNumber("control")};
         }
         members_.push_back(std::move(member));
@@ -91,7 +92,7 @@
         startNode(static_cast<int>(i));
         startServer(static_cast<int>(i));
     }
-    require(eventually([this] { return allServing(); }, std::chrono::seconds(20)), "not every node serves in time");
+    require(eventually([this] { return allServing(); }, std::chrono::seconds(20)), "not every node serves within 20 s");
 }
 
 Mesh::~Mesh()
@@ -112,12 +113,13 @@
         {"listen",
          {{"callers", member.callers.text()},
           {"peers", member.links.text()},
-          {"advertisedPeers", member.proxied.text()},
+          {"advertisedPeers", member.advertisedLinks.text()},
           {"operators", member.control.text()},
           {"readiness", member.readiness.text()}}},
         {"objectApi", store_.text()},
         {"server",
-         {{"service", options_.services.at(static_cast<std::size_t>(index))}, {"address", member.app.text()}}},
+         {{"service", options_.services.at(static_cast<std::size_t>(index))},
+          {"address", member.serverAddress.text()}}},
         {"bounds", json::array({"grace_s=" + std::to_string(options_.graceSeconds), "retry_budget_ratio=0.2",
                                 "budget_slack=" + std::to_string(options_.budgetSlack)})}};
     std::string path = directory_ + "/n" + std::to_string(index) + ".json";
@@ -144,7 +146,7 @@
     const std::vector<std::string> arguments = {
         "--service", options_.services.at(i),         "--id",     "i-" + std::to_string(index),
         "--control", member.control.text(),           "--ledger", directory_ + "/ledger." + std::to_string(index),
-        "--work-ms", std::to_string(options_.workMs), "--port",   std::to_string(member.app.port)};
+        "--work-ms", std::to_string(options_.workMs), "--port",   std::to_string(member.serverAddress.port)};
     member.server = std::make_unique<Process>("tests/standins/standin-sidecarserver", arguments,
                                               directory_ + "/server" + std::to_string(index) + ".log");
     member.server->waitForPrintedNumber("port");
@@ -163,9 +165,10 @@
 void Mesh::setServerMode(int index, const json &mode)
 {
     const HttpRequest request{"POST", "/_mode", {}, mode.dump()};
-    require(
-        loopClient().exchange(members_.at(static_cast<std::size_t>(index)).app, request, requestTimeout).has_value(),
-        "cannot set the server mode");
+    require(loopClient()
+                .exchange(members_.at(static_cast<std::size_t>(index)).serverAddress, request, requestTimeout)
+                .has_value(),
+            "cannot set the server mode");
 }
 
 void Mesh::setStoreFault(const json &fault)
@@ -317,7 +320,7 @@
     if (members_.size() == 1 || text.find(all) != std::string::npos) {
         return true;
     }
-    // The last node to write its entry completes the registry with it, and logs no registry change for that.
+    // A node whose own entry completes the registry logs no change for it, only that it wrote the entry.
     const std::size_t written = text.find("event=roster_entry_written");
     const std::string others = "nodes=" + std::to_string(members_.size() - 1);
     return written != std::string::npos && text.rfind(others, written) != std::string::npos;
--- a/tests/support/Mesh.h
+++ b/tests/support/Mesh.h
@@ -16,14 +16,15 @@
     /** Each node's links are reached through a fault proxy. */
     bool proxies = false;
     int workMs = 20;
-    /** Timeout of the routes, and time from SIGTERM to the exit. */
+    /** Timeout of the routes. */
     int timeoutMs = 3000;
+    /** Longest time from SIGTERM to the node's exit. */
     int graceSeconds = 5;
     /** Retries that the fleet may make beyond its share of the requests. */
     int budgetSlack = 60;
     /** Unused routes that make the configuration large. */
     int spareRoutes = 0;
-    /** Nodes start with the other build; see nodeProgram(). */
+    /** The first process of each node runs the build that WAXWING_OTHER_BUILD names. */
     bool upgrade = false;
 };
 
@@ -42,7 +43,7 @@
     Process &server(int index);
     void setServerMode(int index, const nlohmann::json &mode);
     void setStoreFault(const nlohmann::json &fault);
-    /** Sets a fault on the path from other nodes to the links of this one. @pre MeshOptions::proxies. */
+    /** Sets a fault of the proxy between the other nodes and this node's links. @pre MeshOptions::proxies. */
     void setLinkFault(int index, const nlohmann::json &fault);
     /** Writes the configuration with revision @p version. @p service handles the bookings. */
     void configure(std::uint64_t version, const std::string &service = "desk");
@@ -64,7 +65,7 @@
     int countLogLines(int node, const std::vector<std::string> &texts) const;
     /** Returns the node's log over all its starts. */
     std::string log(int node) const;
-    /** Sends an idempotent request to each node; true if all are served and all nodes have the full registry. */
+    /** Returns true if each node serves an idempotent request and has the full registry. */
     bool allServing();
 
 private:
@@ -73,8 +74,8 @@
         Endpoint links;
         Endpoint control;
         Endpoint readiness;
-        Endpoint app;
-        Endpoint proxied;
+        Endpoint serverAddress;
+        Endpoint advertisedLinks;
         Endpoint proxyControl;
         std::unique_ptr<Process> proxy;
         std::unique_ptr<Process> node;
