--- a/tools/losses.cpp
+++ b/tools/losses.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-/** Returns nullopt if @p text is not a log line, such as a line of the run's own report. */
+/** Parses a log line. Returns nullopt for any other line, such as one of the run's own report. */
 std::optional<LogLine> parse(const std::string &text)
 {
     std::istringstream in(text);
@@ -60,7 +60,7 @@
         } else if (event == "home_done") {
             addWork(line);
         } else if (event == "second_send") {
-            ++secondSends_[line.field("why") + ", " + line.field("allowed")];
+            ++retries_[line.field("why") + ", " + line.field("allowed")];
         } else if (event == "store_call") {
             ++storeCalls_[line.field("kind") + " " + line.field("call")
                           + (line.field("revision").empty() ? ", failed" : "")];
@@ -78,7 +78,7 @@
     {
         table("Responses to callers", responses_);
         table("Server failures, by time since the previous failure of the same server", failures_);
-        table("Retries and hedges requested", secondSends_);
+        table("Retries and hedges requested", retries_);
         table("Store calls", storeCalls_);
         table("Nodes by role in watching the store", roles_);
         table("Stops", stops_);
@@ -134,7 +134,7 @@
 
     Counts responses_;
     Counts failures_;
-    Counts secondSends_;
+    Counts retries_;
     Counts storeCalls_;
     Counts roles_;
     Counts stops_;
