--- a/include/fleet/FleetConfig.h
+++ b/include/fleet/FleetConfig.h
@@ -18,7 +18,7 @@
     std::uint32_t weight = 1;
 };
 
-/** A class of work as the operator declares it: which requests belong to it and what they are promised. */
+/** A class of work as the operator declares it: its requests and the service levels promised to them. */
 struct Route {
     std::string name;
     std::string host;
--- a/include/fleet/LinkDelayEstimator.h
+++ b/include/fleet/LinkDelayEstimator.h
@@ -6,17 +6,17 @@
 
 /**
  * Measures by how much a message on one link was delayed in transit, without comparing clocks. When a network cut
- * heals, a link delivers what was written to it before the cut, seconds later, when the sender has long handed the work
- * to another home. Both ends report the age of the link's Hello on their own clock; the difference is the transit time
- * of Hello and message together. The smallest difference seen is the link's base delay; what exceeds it is excess
- * delay. Not thread safe.
+ * heals, a link delivers work that was written to it before the cut, seconds after the sender handed that work to
+ * another home. Each end measures the age of the link's Hello on its own clock; the difference when a message arrives
+ * is the transit time of Hello and message together. The smallest difference seen is the link's base delay; the rest is
+ * excess delay. Not thread safe.
  */
 class LinkDelayEstimator
 {
 public:
     /**
-     * Returns the excess delay, never negative. @p ageHere: age of the Hello here now. @p ageThere: its age at the
-     * sender when the message was sent.
+     * Returns the excess delay of a message that has just arrived, never negative. @p ageHere: age of the Hello here
+     * now. @p ageThere: its age at the sender when the message was sent.
      */
     Millis excessDelay(Duration ageHere, Duration ageThere);
 
--- a/include/fleet/NodeRegistry.h
+++ b/include/fleet/NodeRegistry.h
@@ -17,7 +17,7 @@
     Endpoint links;
     std::string zone;
     std::string region;
-    /** Service of the backend server beside it. */
+    /** Service of the backend server beside the node. */
     std::string service;
     /** The store's revision of this entry; orders the versions of one entry. */
     std::uint64_t revision = 0;
@@ -37,14 +37,14 @@
      * of other nodes have not been seen.
      */
     bool putOwn(const RegistryEntry &entry);
-    /** Removes the node unless an entry newer than @p revision is known. */
+    /** Removes the node unless its entry is newer than @p revision. Returns whether anything changed. */
     bool remove(const std::string &id, std::uint64_t revision);
     /**
-     * Replaces all entries written up to @p revision by a full list of that revision. Ignores a list that is older than
-     * the one held.
+     * Replaces all entries written up to @p revision by a full list of that revision. Returns false if the list is
+     * older than the registry, and ignores it.
      */
     bool replace(const std::vector<RegistryEntry> &entries, std::uint64_t revision);
-    /** Records that the store was read at this revision. */
+    /** Records that the store was read at @p revision. */
     void advance(std::uint64_t revision);
 
     /** Returns null if there is no such node. */
--- a/include/fleet/RttEstimator.h
+++ b/include/fleet/RttEstimator.h
@@ -14,9 +14,15 @@
 public:
     /** Adds the round trip time of a response. */
     void add(Duration sample);
-    /** Records a timeout on a path that had not failed: doubles the timeout until the next response is measured. */
+    /**
+     * Records a timeout on a path that had not failed. Each one, up to a limit, doubles the timeout until the next
+     * response is measured.
+     */
     void noteSpuriousTimeout();
-    /** Returns the timeout. @p minTimeout: what a healthy path may always take, with some margin for a busy VM. */
+    /**
+     * Returns the timeout, at least @p minTimeout: the time that a healthy path may always take, with some margin for a
+     * busy VM.
+     */
     Duration timeout(Duration minTimeout) const;
 
 private:
--- a/include/fleet/WatchElection.h
+++ b/include/fleet/WatchElection.h
@@ -15,7 +15,7 @@
     Watcher,
     /** Receives changes from its region's watchers. */
     Follower,
-    /** Should follow, but others did not confirm its state in time: calls the store itself for a while. */
+    /** Should follow, but others did not confirm its state within standInAfter: calls the store itself for a while. */
     StandIn,
 };
 
@@ -28,7 +28,7 @@
     Millis standInAfter{1500};
     /** Minimum time as a stand-in, so that slow responses do not make a node switch roles all the time. */
     Millis standInFor{3000};
-    /** A watcher that the store does not answer is excluded until the store answers it, or for this long. */
+    /** A watcher that the store does not respond to is excluded until the store responds, or for this long. */
     Millis excludedFor = std::chrono::seconds(20);
 };
 
--- a/src/fleet/RttEstimator.cpp
+++ b/src/fleet/RttEstimator.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Weights of the newest sample, and of the deviation in the timeout: RFC 6298. */
+/** RFC 6298: a sample weighs 1/8 in the smoothed time and 1/4 in its deviation; the timeout adds four deviations. */
 constexpr int smoothingDivisor = 8;
 constexpr int deviationDivisor = 4;
 constexpr int deviationFactor = 4;
