--- a/src/sidecar/ConfigSync.cpp
+++ b/src/sidecar/ConfigSync.cpp
@@ -12,8 +12,9 @@
 namespace {
 
 /**
- * An acknowledged change is due everywhere within about 2.5 s. Polls are for watches that have gone silent, which a
- * node has 4 s to detect; confirmations by other nodes usually come first.
+ * Age of the configuration at which the store is polled. An acknowledged change is due everywhere within about 2.5 s.
+ * Polls are for watches on dead connections, which a node has 4 s to detect; confirmations by other nodes usually come
+ * first.
  */
 constexpr Millis pollAge{2200};
 /** Each end of a watcher's wait confirms the version for its whole region, which has no other confirmation. */
@@ -59,7 +60,7 @@
 
 void ConfigSync::applyDocument(const std::string &document, const std::string &source)
 {
-    // Decoding a large document takes a second on a slow VM, and lists repeat the one in force.
+    // Decoding a large document takes a second on a slow VM, and lists contain the one in force again.
     if (current_ && document == current_->source) {
         return;
     }
--- a/src/sidecar/ConfigSync.h
+++ b/src/sidecar/ConfigSync.h
@@ -34,14 +34,14 @@
     void onChange(ChangeHook hook);
     /** Applies the document if its version is higher. @p source: where it came from, for the log. */
     void applyDocument(const std::string &document, const std::string &source);
-    /** Null while no version is known. */
+    /** Returns null while no version is known. */
     std::shared_ptr<const FleetConfig> current() const;
     std::uint64_t version() const;
-    /** Age of the version in force. Other nodes that hold the same version may confirm it. */
+    /** Returns the freshness of the version in force. Other nodes that hold the same version may confirm it. */
     Freshness &freshness();
     /** Polls the store at once instead of waiting for the watch, because a newer version is known to exist. */
     void requestPoll();
-    /** True while the store answers. */
+    /** Returns whether the store responded to the last call. */
     bool isStoreReachable() const;
 
 private:
--- a/src/sidecar/RegionWatch.cpp
+++ b/src/sidecar/RegionWatch.cpp
@@ -8,7 +8,7 @@
 namespace waxwing {
 
 namespace {
-/** How soon the election takes account of a watcher that joins or whose link closes. */
+/** Time until the election reflects a watcher that joins or whose link closes. */
 constexpr Millis refreshInterval{400};
 } // namespace
 
--- a/src/sidecar/RegionWatch.h
+++ b/src/sidecar/RegionWatch.h
@@ -23,9 +23,9 @@
     WatchRole updateRole(std::optional<Duration> age);
     /** Records whether the store is @p reachable for @p node. */
     void noteStoreReachable(const std::string &node, bool reachable);
-    /** The role of the last update. */
+    /** Returns the role of the last update. */
     WatchRole role() const;
-    /** Returns an open link to a watcher of this region on another node, picked at random. */
+    /** Picks a watcher of this region on another node at random. Returns its open link; nothing if there is none. */
     std::optional<LinkId> linkToWatcher();
     /** Returns the open links to all other nodes of this region. */
     std::vector<LinkId> regionLinks() const;
--- a/src/sidecar/RegistrySync.cpp
+++ b/src/sidecar/RegistrySync.cpp
@@ -14,8 +14,8 @@
 /** New nodes must be known soon, but a hundred that start together should cost each other node only a few calls. */
 constexpr Millis changeBatchDelay{400};
 /**
- * Stale reads cost a tenth and are not counted, so waits can be short: a watch that has gone silent is noticed within
- * the longest one.
+ * Stale reads cost a tenth and are not counted, so waits can be short: a watch on a dead connection is detected within
+ * the maximum wait.
  */
 constexpr Millis minRegistryWait{2000};
 constexpr Millis maxRegistryWait{4000};
@@ -136,7 +136,7 @@
             break;
         }
         case UpdateResult::Kind::Conflict:
-            // Written by an earlier process of this node, or by a call of this one that took effect late.
+            // Written by an earlier process of this node, or by a call of this process that took effect late.
             version = result.current ? result.current->version : 0;
             break;
         case UpdateResult::Kind::NotStored:
--- a/src/sidecar/RegistrySync.h
+++ b/src/sidecar/RegistrySync.h
@@ -28,9 +28,9 @@
     void start();
     /** Sets the hook that is called after each change. Register before start(). */
     void onChange(std::function<void()> hook);
-    /** Removes the own entry, for a node that does not come back. @pre called from a fiber. */
+    /** Removes the own entry of a node that stops for good. @pre called from a fiber. */
     void removeOwnEntry();
-    /** Applies another node's list if it is newer and this node gets no answer from the store. */
+    /** Applies another node's list, unless it is empty or older or the store responds to this node. */
     void applyPeerList(const std::vector<RegistryEntry> &entries, std::uint64_t revision);
     const NodeRegistry &registry() const;
     bool isStoreReachable() const;
--- a/src/sidecar/StateUpdateService.cpp
+++ b/src/sidecar/StateUpdateService.cpp
@@ -17,7 +17,7 @@
 constexpr Millis checkInterval{100};
 /** Time for the store to report a change that another node has reported already. */
 constexpr Millis storeNotifyTimeout{300};
-/** Keeps a version that this node rejects from causing continuous calls to the store. */
+/** Minimum interval, so that a version that this node rejects does not cause continuous calls to the store. */
 constexpr Millis storePollInterval{700};
 /** Time for the store to answer a node that has just started. */
 constexpr Millis storeStartTimeout{1000};
@@ -25,7 +25,7 @@
 constexpr Millis configRequestTimeout{4000};
 /** State of this age is checked with other nodes, which costs less than a call to the store. */
 constexpr Millis versionRequestAge{1200};
-/** A follower checks earlier: the reply must arrive before it becomes a stand-in. */
+/** A follower checks earlier, so that a reply arrives before it has to call the store itself as a stand-in. */
 constexpr Millis followerVersionRequestAge{900};
 constexpr Millis versionRequestInterval{400};
 /**
@@ -80,7 +80,8 @@
 
 void StateUpdateService::noteVersions(LinkId link, const KnownVersions &peerVersions)
 {
-    // The transit time of this message is unknown, so it does not show that a starting node may accept callers.
+    // The transit time of this message is unknown. It must not confirm the state of a follower, nor let a starting node
+    // accept callers.
     ConfigSync &config = core_.service<ConfigSync>("config");
     const SteadyTime now = core_.clock.now();
     if (!isFollower() && config.freshness().mayServeCallers(now, true)) {
--- a/src/sidecar/StateUpdateService.h
+++ b/src/sidecar/StateUpdateService.h
@@ -13,14 +13,15 @@
 struct NodeCore;
 
 /**
- * Exchanges versions and state between nodes, for what the store has not delivered. Every message about work carries
- * the versions that its sender holds and the time since the configuration was known to be the newest. It confirms the
- * state of a receiver that holds the same version. A receiver with a lower version polls the store, and requests the
- * state from the sender if the store does not answer. So a node that cannot reach the store, or whose watch went
- * silent, is as current as the nodes it works with.
+ * Lets nodes obtain state from each other that the store has not delivered. Every message about work carries the
+ * versions that its sender holds and the time since its configuration was known to be the newest. It confirms the state
+ * of a receiver that holds the same version. A receiver with a lower version polls the store, and requests the state
+ * from the sender if the store does not respond. A node that cannot reach the store, or whose watch receives nothing,
+ * is therefore as current as the nodes with which it exchanges work.
  *
- * A follower has no source but its region's watchers. It sends them requests, and dates a reply by the time at which it
- * sent the request: a message that was delayed in transit confirms nothing to a follower. Not thread safe.
+ * A follower sends requests to its region's watchers, or to another node if it can't use a watcher's link. A reply
+ * confirms its state as of the time at which the request was sent. Messages about work, which may have been delayed in
+ * transit, confirm nothing to a follower. Not thread safe.
  */
 class StateUpdateService
 {
@@ -32,15 +33,15 @@
     KnownVersions versions();
     void linkOpened(LinkId link);
     void linkClosed(LinkId link);
-    /** Handles the versions in a message about work that came on @p link. */
+    /** Confirms this node's state, or notes a newer version, by a message about work that came on @p link. */
     void noteVersions(LinkId link, const KnownVersions &peerVersions);
     void handleRequest(LinkId link, const StateUpdateRequest &request);
     void handleUpdate(LinkId link, const NodeRef &from, const StateUpdate &update);
-    /** Handles a change of the configuration: a watcher sends an update to the nodes of its region. */
+    /** Sends the changed configuration to the nodes of the region if this node is a watcher. */
     void configChanged();
 
 private:
-    /** Another node holds a higher version. */
+    /** A version that another node holds and that is higher than this node's. */
     struct NewerVersion {
         LinkId link = 0;
         std::uint64_t version = 0;
@@ -59,7 +60,10 @@
     /** Returns the link on which to request the configuration; nothing while the store is likely to deliver it. */
     std::optional<LinkId> configRequestLink();
     std::optional<LinkId> randomLink();
-    /** Returns the link on which to request versions: a watcher's, unless it has left a request unanswered. */
+    /**
+     * Returns the link on which to request versions: to a watcher, or to a random node if the watcher has left a
+     * request unanswered or has no open link.
+     */
     std::optional<LinkId> versionRequestLink();
     bool isFollower() const;
     void sendRequest(LinkId link, bool wantsConfig, bool wantsRegistry);
--- a/src/sidecar/StoreWatch.cpp
+++ b/src/sidecar/StoreWatch.cpp
@@ -65,7 +65,7 @@
 
 WatchRole StoreWatch::role() const
 {
-    // Others can confirm only a version that this node holds.
+    // Others can confirm only a version that this node holds, so a node without one calls the store itself.
     const bool mayFollow = tuning_.role && revision_ > 0;
     return mayFollow ? tuning_.role() : WatchRole::Watcher;
 }
@@ -159,7 +159,8 @@
     healthy_ = true;
     hasCalled_ = true;
     revision_ = changes.complete ? changes.revision : std::max(revision_, changes.revision);
-    // A long wait ends at a change or at its time limit, and may end earlier; its response may be read later.
+    // A long wait ends at a change or at its time limit, and may end earlier. Its response may be read later, and
+    // confirms nothing after the time limit.
     const bool waited = call.since > 0 && call.wait > WatchCall::minWait;
     freshness_.confirm(waited ? std::min(core_.clock.now(), calledAt + call.wait) : calledAt);
     onChanges_(changes);
--- a/src/sidecar/StoreWatch.h
+++ b/src/sidecar/StoreWatch.h
@@ -21,11 +21,12 @@
     Millis batchDelay{0};
     /**
      * A waiting call ends after a random time in this range. Each end shows that the connection to the store works. The
-     * range starts low because a change ends the calls of all nodes at the same moment.
+     * range starts low because a change ends the calls of all nodes at the same moment, so that the next waits start
+     * together.
      */
     Millis minWait = std::chrono::seconds(1);
     Millis maxWait = std::chrono::seconds(25);
-    /** Age of the state, plus a random part of the jitter, at which the store is polled beside the watch. */
+    /** Age of the state, plus a random part of the jitter, at which the store is polled in parallel with the watch. */
     std::optional<Millis> pollAfter;
     Millis pollJitter{1000};
     /** Timeout of a call that only checks for changes. */
@@ -35,7 +36,7 @@
     Millis maxBackoff{1500};
     /** Called before each call to the store. A follower makes none. Without this hook the node always watches. */
     std::function<WatchRole()> role;
-    /** Waits and backoff of a stand-in: in an outage all nodes of a region are stand-ins. */
+    /** Waits and backoff of a stand-in. They limit the calls in an outage, when all nodes of a region are stand-ins. */
     Millis minStandInWait{1500};
     Millis maxStandInWait{2500};
     Millis initialStandInBackoff{1000};
@@ -43,8 +44,8 @@
 };
 
 /**
- * Follows all objects of one kind: a full list, then changes, with backoff while the store does not answer. A call
- * waits long for a change only if the one before it was answered. A waiting call can be on a dead connection, so when
+ * Follows all objects of one kind: a full list, then changes, with backoff while the store does not respond. A call
+ * waits long for a change only if the one before it got a response. A waiting call can be on a dead connection, so when
  * nothing has confirmed the state for a while, the store is polled on another connection. A follower makes no waiting
  * calls, only such polls. Not thread safe.
  */
@@ -56,12 +57,12 @@
     StoreWatch(NodeCore &core, std::string kind, StoreWatchTuning tuning, ChangesHook onChanges);
     /** Runs until the node stops. @pre called from a fiber. */
     void run();
-    /** True while the store answers. */
+    /** Returns whether the store responded to the last call. */
     bool isHealthy() const;
-    /** Age of the state that this node holds. Other nodes that hold the same version may confirm it. */
+    /** Returns the freshness of the state held. Other nodes that hold the same version may confirm it. */
     Freshness &freshness();
     const Freshness &freshness() const;
-    /** Polls the store beside the watch as soon as possible, because newer state is known to exist. */
+    /** Polls the store in parallel with the watch as soon as possible, because newer state is known to exist. */
     void requestPoll();
 
 private:
@@ -92,7 +93,7 @@
     Freshness freshness_;
     std::uint64_t revision_ = 0;
     bool healthy_ = false;
-    /** A call has ended. The first failure counts as the loss of the store as well. */
+    /** A call has ended. If the first call fails, that is logged as the loss of the store as well. */
     bool hasCalled_ = false;
     /** The watch waits for a change. Polls are needed only then and while this node is a follower. */
     bool isWaiting_ = false;
