--- a/src/sidecar/PathMonitor.cpp
+++ b/src/sidecar/PathMonitor.cpp
@@ -15,14 +15,14 @@
 constexpr Millis maxProbeInterval{4000};
 constexpr Millis probeTimeout{500};
 /**
- * What a response may take on any path: a round trip, about 3 ms within a region and 60 ms between regions, and time
- * for a node whose share of a core is used up for a tenth of a second.
+ * Time allowed for a response on any path: a round trip, about 3 ms within a region and 60 ms between regions, and the
+ * delay at a node whose share of a core is used up for a tenth of a second.
  */
 constexpr Millis minTimeoutSameRegion{150};
 constexpr Millis minTimeoutOtherRegion{260};
-/** Keeps a node that wrongly suspects others from making all nodes check them continuously. */
+/** Minimum interval, so that a node that wrongly suspects others does not make all nodes check them continuously. */
 constexpr Millis suspicionCheckInterval{2000};
-/** Nodes notified directly. In a region of hundreds, those that confirm the failure notify others. */
+/** In a region of hundreds of nodes, those that are notified directly and confirm the failure notify others. */
 constexpr std::size_t maxNotifiedNodes = 64;
 
 } // namespace
@@ -57,8 +57,8 @@
     core_.metrics.count("paths_failed");
     spawnFiber([this, node] {
         const RegistryEntryPtr found = core_.service<RegistrySync>("registry").registry().find(node);
-        // A late ack on a busy path looks like a cut. When each such error was sent to the region, all its nodes
-        // checked their paths, which made them busier still.
+        // A late ack on a busy path looks like a cut. When the region was notified of every such false alarm, all its
+        // nodes checked their paths, which made them busier still.
         if (found != nullptr && repliesOnLink(*found)) {
             notePathRecovered(node, true);
         } else {
@@ -124,11 +124,11 @@
         return false;
     }
     const SteadyTime sentAt = core_.clock.now();
-    const bool answers = peers.ping(*peer, entry.links, replyTimeout(entry)).has_value();
-    if (answers) {
+    const bool replied = peers.ping(*peer, entry.links, replyTimeout(entry)).has_value();
+    if (replied) {
         noteRoundTrip(entry.id, core_.clock.now() - sentAt);
     }
-    return answers;
+    return replied;
 }
 
 bool PathMonitor::repliesOnNewLink(const RegistryEntry &entry)
@@ -146,8 +146,8 @@
         sleepFor(core_.ioContext, pause);
         const RegistryEntryPtr entry = core_.service<RegistrySync>("registry").registry().find(node);
         if (entry == nullptr) {
-            // The node has left. One that returns under this name starts without the failed state; otherwise it would
-            // stay ranked last, with no probe to clear that state.
+            // The node has left and probing ends, so the failed state is cleared here. Otherwise a node that returns
+            // under this name would stay ranked last, with no probe to clear that state.
             hooks_.onPathRecovered(node);
             lastCheckedAt_.erase(node);
             estimators_.erase(node);
--- a/src/sidecar/PathMonitor.h
+++ b/src/sidecar/PathMonitor.h
@@ -14,10 +14,10 @@
 struct NodeCore;
 
 /**
- * Monitors the paths to other nodes. A failed path is checked at once. If it does not answer, it is probed with new
- * links until it recovers. Nodes of a region notify each other of silent nodes; otherwise each of a hundred senders
- * would detect the loss of a VM by itself, at the cost of one request each. A notification is no proof, since cuts
- * affect pairs of nodes: the receiver first checks its own link. Not thread safe.
+ * Monitors the paths to other nodes. A failed path is checked at once. If the node does not respond, the path is probed
+ * with new links until it recovers. Nodes of a region notify each other of unresponsive nodes; otherwise each of a
+ * hundred senders would detect the loss of a VM by itself, at the cost of one request each. A notification is no proof,
+ * since cuts affect pairs of nodes: the receiver first checks its own link. Not thread safe.
  */
 class PathMonitor
 {
@@ -36,16 +36,16 @@
     void noteRoundTrip(const std::string &node, Duration sample);
     /** Returns how long a response that needs no work may take on the path to @p home. */
     Duration replyTimeout(const RegistryEntry &home) const;
-    /** Records that no ack came from @p node in time, or that no link to it opens. */
+    /** Records that no ack came from @p node within replyTimeout(), or that no link to it opens. Checks the path. */
     void noteFailure(const std::string &node);
-    /** Handles a notification that a node is silent. Ignores nodes that are not in the registry. */
+    /** Checks a node that another node reports as unresponsive. Ignores nodes that are not in the registry. */
     void handle(const PathSuspicion &suspicion);
 
 private:
     void notifyRegion(const std::string &node);
     /** Probes until the path recovers. @pre called from a fiber. */
     void probeUntilRecovered(const std::string &node);
-    /** True if the node answers on the open link. @pre called from a fiber. */
+    /** Returns true if the node responds on the open link. @pre called from a fiber. */
     bool repliesOnLink(const RegistryEntry &entry);
     bool repliesOnNewLink(const RegistryEntry &entry);
     void notePathRecovered(const std::string &node, bool falseAlarm);
--- a/src/sidecar/SidecarNode.cpp
+++ b/src/sidecar/SidecarNode.cpp
@@ -32,9 +32,9 @@
 constexpr Millis stopPollInterval{20};
 /** The platform checks readiness each second and removes a node after two failures; then no more callers come. */
 constexpr Millis callerDrainDelay{2300};
-/** Other nodes are refused this long after the stop began: their work has other homes. */
+/** Time from the start of the stop until work from other nodes is refused; it has other homes then. */
 constexpr Millis homeDrainDelay{1000};
-/** Kept free before the process is killed. */
+/** Time kept free before the process is killed. */
 constexpr Millis stopMargin{400};
 /** Time for the last responses to leave the sockets. */
 constexpr Millis leaveGrace{50};
@@ -45,7 +45,7 @@
 constexpr Millis maxWorkDelay{1500};
 /** Events kept in memory. The log has them all, and memory is paid for. */
 constexpr std::size_t maxKeptEvents = 128;
-/** Links to the region's nodes are opened before the first request needs them. */
+/** Timeout of opening a link. Links to the region's nodes are opened before the first request needs them. */
 constexpr Millis warmTimeout{1500};
 /** A killed process is back within about a second; a lost VM costs an occasional connection attempt. */
 constexpr Millis initialReconnectDelay{500};
@@ -73,7 +73,7 @@
 
 WatchElectionTuning watchElectionTuning(const NodeSettings &settings)
 {
-    // The rest of the time within which a change is due is for reading it.
+    // Fraction of the time within which a change is due. The rest is for reading it.
     constexpr double standInFraction = 0.6;
     WatchElectionTuning tuning;
     if (!settings.bounds.empty()) {
@@ -115,7 +115,7 @@
     HttpReply handleControl(const HttpRequest &request);
     void handleMessage(LinkId link, const NodeRef &from, Message message);
     void handleWork(LinkId link, const NodeRef &from, Work work);
-    /** Stores the link on which the sender of a Work in progress last sent a fence: the reply goes there. */
+    /** Stores the link on which the sender of a Work in progress sent its last fence: the WorkReply is sent there. */
     void noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence);
     void applyConfig(const FleetConfig &changed);
     void warmLinks();
