--- a/tests/integration/FollowerTest.cpp
+++ b/tests/integration/FollowerTest.cpp
@@ -71,11 +71,11 @@
 
 } // namespace
 
-// Guards against calls to the store that grow with the nodes: only the watchers call it, while nothing changes and at a
-// change.
-TEST_CASE_FIXTURE(Followers, "followers, new version, hold it in time without a call to the store")
+// Guards against a number of calls to the store that grows with the nodes. Only the watchers may call it, with or
+// without a change.
+TEST_CASE_FIXTURE(Followers, "followers, new version, hold it when it is due without a call to the store")
 {
-    // By then the stand-ins of the start have become followers.
+    // Nodes that are stand-ins at the start become followers in this time.
     pause(std::chrono::seconds(4));
     const std::vector<int> followers = withRole("follower");
     REQUIRE(followers.size() == 4);
@@ -87,7 +87,7 @@
 }
 
 // Guards against a region that receives no more updates because all of its watchers ended at once.
-TEST_CASE_FIXTURE(Followers, "followers, all watchers killed at once, hold the next version in time")
+TEST_CASE_FIXTURE(Followers, "followers, all watchers killed at once, hold the next version when it is due")
 {
     const std::vector<int> followers = withRole("follower");
     for (const int watcher : withRole("watcher")) {
@@ -100,7 +100,7 @@
 }
 
 // Guards against suspended watchers that hold their links open and keep their region on an old version.
-TEST_CASE_FIXTURE(Followers, "followers, all watchers suspended, hold the next version in time")
+TEST_CASE_FIXTURE(Followers, "followers, all watchers suspended, hold the next version when it is due")
 {
     const std::vector<int> followers = withRole("follower");
     const std::vector<int> watchers = withRole("watcher");
@@ -116,17 +116,18 @@
     }
 }
 
-// Guards against watchers that answer their followers although their own watches on the store are silent.
-TEST_CASE_FIXTURE(Followers, "followers, watches gone silent, hold the next version in time")
+// Guards against watchers that reply to their followers although their own connections to the store are dead.
+TEST_CASE_FIXTURE(Followers, "followers, watches on dead connections, hold the next version when it is due")
 {
     mesh_.setStoreFault({{"deafWatches", true}});
     mesh_.configure(2, "archive");
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
-// Guards against followers that lose their watchers' watches together with the store and all wait for a store that
-// never received their calls.
-TEST_CASE_FIXTURE(Followers, "followers, watches cut while the store is silent, hold the next version in time")
+// Guards against a region whose watchers lose their watches while the store does not respond. All nodes then
+// wait long for responses to calls that the store never received.
+TEST_CASE_FIXTURE(Followers,
+                  "followers, watches cut while the store does not respond, hold the next version when it is due")
 {
     mesh_.setStoreFault({{"silent", true}, {"cutWatches", true}});
     pause(Millis(600));
@@ -135,8 +136,8 @@
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
-// Guards against a follower that no node reaches and that waits for its watchers while the store answers.
-TEST_CASE_FIXTURE(CutFollowers, "followers, links cut both ways, hold the next version in time")
+// Guards against a follower that is cut off from all nodes and waits for its watchers although it can reach the store.
+TEST_CASE_FIXTURE(CutFollowers, "followers, links cut both ways, hold the next version when it is due")
 {
     cutLinks(true);
     mesh_.configure(2, "archive");
@@ -144,8 +145,8 @@
     cutLinks(false);
 }
 
-// Guards against a follower among nodes that have just started: none of them can confirm anything yet.
-TEST_CASE_FIXTURE(Followers, "followers, all other nodes restarted at once, hold a version written meanwhile in time")
+// Guards against a follower whose peers have all just started, so that none of them can confirm its state yet.
+TEST_CASE_FIXTURE(Followers, "followers, all other nodes restarted at once, hold a version written meanwhile when due")
 {
     const int follower = withRole("follower").front();
     for (int node = 0; node < nodes_; ++node) {
--- a/tests/integration/StaleStateTest.cpp
+++ b/tests/integration/StaleStateTest.cpp
@@ -36,7 +36,7 @@
     mesh_.node(0).kill();
     mesh_.startNode(0);
     REQUIRE(eventually([&] { return mesh_.isReady(0); }));
-    // By then the copies that peers have sent in the meantime are read.
+    // Any further copies from peers are read in this time.
     pause(Millis(1500));
     CHECK(mesh_.countLogLines(0, {"event=config_read"}) == 1);
 }
@@ -57,13 +57,14 @@
     pause(applyBound + Millis(100));
     mesh_.node(0).signal(SIGCONT);
     REQUIRE(eventually([&] { return mesh_.isReady(0); }));
-    const auto answer = mesh_.send(0, "after-ready", "/seats/1");
-    REQUIRE(answer);
-    CHECK(headerValue(answer->headers, names::signature) == "seal-i-2");
+    const auto response = mesh_.send(0, "after-ready", "/seats/1");
+    REQUIRE(response);
+    CHECK(headerValue(response->headers, names::signature) == "seal-i-2");
 }
 
 // Guards against nodes that lose their watches together and wait long for a store that never received their calls.
-TEST_CASE_FIXTURE(StaleState, "stale state, watches cut while the store is silent, nodes hold the next version in time")
+TEST_CASE_FIXTURE(
+    StaleState, "stale state, watches cut while the store does not respond, nodes hold the next version when it is due")
 {
     mesh_.setStoreFault({{"silent", true}, {"cutWatches", true}});
     pause(Millis(600));
@@ -72,9 +73,9 @@
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
-// Guards against watches that all go silent without a reset, right after a change made all waits start at the same
-// time.
-TEST_CASE_FIXTURE(StaleState, "stale state, watches gone silent, nodes hold the next version in time")
+// Guards against watches whose connections all die without a reset, right after a change made all waits start at the
+// same time.
+TEST_CASE_FIXTURE(StaleState, "stale state, watches on dead connections, nodes hold the next version when it is due")
 {
     mesh_.configure(2);
     REQUIRE(eventually([&] { return isInForce(2); }));
@@ -84,8 +85,8 @@
     CHECK(eventually([&] { return isInForce(3); }, dueAfterDisturbance));
 }
 
-// Guards against a node that joins and gets no work because the other nodes' watches on the registry are silent.
-TEST_CASE_FIXTURE(StaleState, "stale state, watches gone silent, nodes soon see a node that joins")
+// Guards against a node that joins and gets no work because the other nodes watch the registry over dead connections.
+TEST_CASE_FIXTURE(StaleState, "stale state, watches on dead connections, nodes soon detect a node that joins")
 {
     mesh_.addRegistryEntry("first-to-join");
     REQUIRE(eventually([&] { return mesh_.countLogLines(0, {"event=roster_changed", "nodes=4"}) > 0; }));
@@ -112,8 +113,8 @@
     mesh.setLinkFault(1, {{"fromTarget", {{"hold", true}}}});
     unsigned status = 0;
     runConcurrently({[&] {
-                         const auto answer = mesh.send(0, "forgotten", "/seats/1", std::chrono::seconds(17));
-                         status = answer ? answer->status : 0;
+                         const auto response = mesh.send(0, "forgotten", "/seats/1", std::chrono::seconds(17));
+                         status = response ? response->status : 0;
                      },
                      [&] {
                          pause(std::chrono::seconds(14));
--- a/tests/standins/objectapi.cpp
+++ b/tests/standins/objectapi.cpp
@@ -1,7 +1,7 @@
 /**
  * Stand-in for the platform's object API: versions, conditional updates, watches and call counts. On request it
- * simulates an outage, slowness, silence, watches that are cut or go silent, or responses that are lost after the write
- * took effect.
+ * simulates an outage, slowness, silence, watches that are cut or never answered, or responses that are lost after the
+ * write took effect.
  */
 #include "platform/Names.h"
 #include "src/http/HttpServer.h"
@@ -28,7 +28,7 @@
     bool deleted = false;
     json value;
 
-    /** Spec and metadata in the platform's format. */
+    /** Returns spec and metadata in the platform's format. */
     json toJson() const
     {
         return {{"metadata",
@@ -44,7 +44,7 @@
 
 struct Faults {
     bool outage = false;
-    /** Calls that come meanwhile are never answered, not even later. */
+    /** Calls that come meanwhile are never answered, even after the fault ends. */
     bool silent = false;
     std::int64_t slowMs = 0;
     /** Additional delay of full lists of one kind. */
@@ -120,12 +120,12 @@
         if (request.method == "GET") {
             return target.name.empty() ? list(target) : read(target);
         }
-        HttpReply answer = request.method == "DELETE" ? remove(target) : update(request.method, target, request.body);
+        HttpReply result = request.method == "DELETE" ? remove(target) : update(request.method, target, request.body);
         if (faults_.loseAnswers > 0) {
             --faults_.loseAnswers;
             return HttpReply{{}, AfterResponse::Reset};
         }
-        return answer;
+        return result;
     }
 
 private:
@@ -168,7 +168,7 @@
         never.wait();
     }
 
-    /** Returns whether the watch was cut. */
+    /** Waits for a change, no longer than @p allowed. Returns whether the watch was cut. */
     bool waitForChange(Millis allowed)
     {
         const auto waiter = std::make_shared<Waiter>();
--- a/tests/support/ConfigPropagationRig.h
+++ b/tests/support/ConfigPropagationRig.h
@@ -15,7 +15,10 @@
 /** A change is due at the later of the two times; the disturbances of these tests come just before the change. */
 constexpr Millis dueAfterDisturbance = std::max(applyBound, undisturbedAfter);
 
-/** From version 2 on, bookings are for "archive", whose server is beside node 2. */
+/**
+ * A mesh for tests of how a configuration reaches its nodes. From version 2 on, bookings are for "archive", whose
+ * server is beside node 2.
+ */
 class ConfigPropagationRig
 {
 protected:
--- a/tests/unit/PlatformDialectTest.cpp
+++ b/tests/unit/PlatformDialectTest.cpp
@@ -46,7 +46,7 @@
     return call && !*call;
 }
 
-HttpResponse answer(unsigned status, HeaderList headers)
+HttpResponse serverResponse(unsigned status, HeaderList headers)
 {
     return HttpResponse{status, std::move(headers), "x"};
 }
@@ -142,21 +142,21 @@
 TEST_CASE("server dialect, responses, are classified by their headers and not by status alone")
 {
     const std::pair<std::string, std::string> seal{names::signature, "s"};
-    CHECK(classifyResponse(answer(200, {seal})) == ServerResponse::Answer);
-    CHECK(classifyResponse(answer(404, {seal})) == ServerResponse::Answer);
-    CHECK(classifyResponse(answer(500, {seal})) == ServerResponse::Failure);
-    CHECK(classifyResponse(answer(503, {seal, {names::notRun, "1"}})) == ServerResponse::NotRun);
-    CHECK(classifyResponse(answer(503, {seal})) == ServerResponse::Failure);
-    CHECK(classifyResponse(answer(421, {})) == ServerResponse::OtherServer);
-    CHECK(classifyResponse(answer(200, {})) == ServerResponse::Unusable);
-    CHECK(classifyResponse(answer(200, {seal, {"Content-Encoding", "gzip"}})) == ServerResponse::Unusable);
+    CHECK(classifyResponse(serverResponse(200, {seal})) == ServerResponse::Answer);
+    CHECK(classifyResponse(serverResponse(404, {seal})) == ServerResponse::Answer);
+    CHECK(classifyResponse(serverResponse(500, {seal})) == ServerResponse::Failure);
+    CHECK(classifyResponse(serverResponse(503, {seal, {names::notRun, "1"}})) == ServerResponse::NotRun);
+    CHECK(classifyResponse(serverResponse(503, {seal})) == ServerResponse::Failure);
+    CHECK(classifyResponse(serverResponse(421, {})) == ServerResponse::OtherServer);
+    CHECK(classifyResponse(serverResponse(200, {})) == ServerResponse::Unusable);
+    CHECK(classifyResponse(serverResponse(200, {seal, {"Content-Encoding", "gzip"}})) == ServerResponse::Unusable);
 }
 
 TEST_CASE("server dialect, response that names another request, does not match this one")
 {
-    CHECK(isResponseTo(answer(200, {{names::requestId, "a1"}}), "a1"));
-    CHECK_FALSE(isResponseTo(answer(200, {{names::requestId, "a2"}}), "a1"));
-    CHECK(isResponseTo(answer(503, {}), "a1"));
+    CHECK(isResponseTo(serverResponse(200, {{names::requestId, "a1"}}), "a1"));
+    CHECK_FALSE(isResponseTo(serverResponse(200, {{names::requestId, "a2"}}), "a1"));
+    CHECK(isResponseTo(serverResponse(503, {}), "a1"));
 }
 
 TEST_CASE("configuration decoder, operator's document, becomes routes with their settings")
@@ -213,7 +213,7 @@
     CHECK(config.warnings.all().front().place == "/listeners/0/rules/3/kind");
 }
 
-TEST_CASE("registry entry, encoded and decoded, is unchanged and that of another writer names no home")
+TEST_CASE("registry entry, encoded and decoded, is unchanged and a malformed one is rejected")
 {
     const RegistryEntry entry{"n1", Endpoint{"10.1.0.5", 7380}, "z1", "r1", "desk", 0};
     const auto read = decodeRegistryEntry("n1", encodeRegistryEntry(entry), 9);
--- a/tests/unit/WatchElectionTest.cpp
+++ b/tests/unit/WatchElectionTest.cpp
@@ -134,7 +134,7 @@
     }
 }
 
-// Guards against a follower that keeps its old state although its watchers are silent.
+// Guards against a follower that keeps its old state because its watchers do not respond.
 TEST_CASE_FIXTURE(RegionOfNodes,
                   "watch election, follower without confirmation, becomes a stand-in and later a follower again")
 {
@@ -154,7 +154,7 @@
 }
 
 // Guards against a region whose watchers lose the store, so that all its nodes call the store instead.
-TEST_CASE_FIXTURE(RegionOfNodes, "watch election, watchers that the store does not answer, are replaced by two others")
+TEST_CASE_FIXTURE(RegionOfNodes, "watch election, watchers that cannot reach the store, are replaced by two others")
 {
     start(30);
     const std::set<std::string> cutOff = elected();
@@ -177,8 +177,8 @@
     CHECK(watchersAt(at(static_cast<int>(WatchElectionTuning().excludedFor.count()))).empty());
 }
 
-// Guards against a region in which all nodes watch, at a watcher's short intervals, while the store answers no node.
-TEST_CASE_FIXTURE(RegionOfNodes, "watch election, store that answers no node, has no more watchers than before")
+// Guards against a region in which all nodes watch, at a watcher's short intervals, while no node can reach the store.
+TEST_CASE_FIXTURE(RegionOfNodes, "watch election, store that no node can reach, has no more watchers than before")
 {
     start(30);
     const Duration age = std::chrono::seconds(3);
