--- a/include/wire/Messages.h
+++ b/include/wire/Messages.h
@@ -23,7 +23,7 @@
 /** What happened to a request, as reported to its caller. */
 enum class Outcome : std::uint8_t {
     Ran = 1,
-    /** It is certain that it has not run. */
+    /** Has certainly not run. */
     NotRun = 2,
     /** May have run. Never reported as not run. */
     Unknown = 3,
@@ -31,7 +31,7 @@
 
 const char *outcomeName(Outcome outcome);
 
-/** First message on a link; identifies the sender. */
+/** The first message that each side sends on a link; identifies the sender. */
 struct Hello {
     NodeRef from;
 };
@@ -63,7 +63,7 @@
     Outcome outcome = Outcome::Unknown;
     /** Stable code of the refusal or fault; empty if the request ran. */
     std::string reason;
-    /** When to retry; zero if a retry can't help. */
+    /** Time after which a retry may succeed; zero if a retry can't help. */
     Millis retryAfter{0};
     std::string server;
     /** Free slots and queued requests at the home; the sender uses them to choose the next home. */
@@ -72,10 +72,10 @@
     HttpResponse response;
 };
 
-/** Cancels a request: the sender no longer waits for its reply. */
+/** Cancels an Exec or a Work. */
 struct Cancel {
     std::uint64_t id = 0;
-    /** Cancels the request only if it has not started; otherwise the sender still waits for the reply. */
+    /** Has no effect if the request has started: the sender then still waits for its reply. */
     bool onlyIfQueued = false;
 };
 
@@ -95,7 +95,7 @@
     RecordTable::BucketHashes hashes{};
 };
 
-/** Keys and versions of the records in differing buckets. @c answer marks the reply, which gets no reply itself. */
+/** Keys and versions of the records in differing buckets. @c answer is set in a reply, which is not replied to. */
 struct BucketNames {
     bool answer = false;
     std::vector<std::pair<std::uint32_t, std::vector<RecordName>>> buckets;
@@ -142,7 +142,7 @@
     /** The store responded to this node's last call. */
     bool isStoreReachable = false;
 
-    /** An age of this value or above, also used if the configuration was never confirmed, carries no information. */
+    /** An age of this value means unknown: the last confirmation is at least this old, or there was none. */
     static constexpr Millis maxConfigAge{25500};
 };
 
@@ -160,8 +160,8 @@
     /** The sender knows that the server is probably gray and has no better choice. */
     bool acceptsGray = false;
     /**
-     * 0 is the highest priority: nested calls, which other requests wait for. Callers' requests have the rank of their
-     * route plus one.
+     * 0 is the highest priority, used for nested calls, because other requests wait for them. A caller's request has
+     * the rank of its route plus one.
      */
     std::uint8_t priority = 0;
     /**
@@ -171,9 +171,7 @@
     Millis remaining{0};
     Millis untilObjective{0};
     Millis queueTimeout{0};
-    /**
-     * Age of the link's Hello at the sender when this was sent; lets the receiver compute the delay of this message.
-     */
+    /** Age of the link's Hello at the sender when this was sent, to compute the delay of this message. */
     Millis helloAge{0};
     KnownVersions versions;
     HttpRequest request;
@@ -196,9 +194,9 @@
     /** Stable code of a refusal or fault; empty if there is a response. */
     std::string reason;
     std::string server;
-    /** Time that the server took. */
+    /** Time that the server took for the request. */
     Millis processingTime{0};
-    /** Calls that one execution of this route makes, as measured by its home. */
+    /** Mean number of nested calls of one execution of this route, by called service, as measured by its home. */
     CallRates calls;
     /** The home infers from the origin of this route's requests that they are nested calls. */
     bool nestedCall = false;
@@ -254,22 +252,22 @@
     std::uint64_t id = 0;
     std::string service;
     double tokens = 0.0;
-    /** Requests of higher priority also need retries of this service. */
+    /** The tokens are for a hedge, or the sender also needs retries of this service for requests of higher priority. */
     bool lowPriority = false;
 };
 
-/** The tokens transferred; zero if the other node has none to spare. */
+/** The tokens transferred; zero if the sender has none to spare. */
 struct BudgetTransferReply {
     std::uint64_t id = 0;
     double tokens = 0.0;
 };
 
-/** The sender gets no more replies from a node; the receiver should probe its own path to it. */
+/** The sender gets no more replies from a node. The receiver should probe its own path to that node. */
 struct PathSuspicion {
     std::string node;
 };
 
-/** Requests the receiver's versions, and the state that it holds in a higher version. */
+/** Requests the receiver's versions, and the selected parts of its state if they are newer than the sender's. */
 struct StateUpdateRequest {
     std::uint64_t id = 0;
     KnownVersions versions;
@@ -279,7 +277,7 @@
 
 /** The configuration document and the whole registry, each only if it is newer than the receiver's. */
 struct StateUpdate {
-    /** Id of the request that it answers; 0 if it was not requested. */
+    /** Id of the StateUpdateRequest; 0 if the update was not requested. */
     std::uint64_t id = 0;
     KnownVersions versions;
     std::string config;
@@ -294,7 +292,7 @@
 std::string *bodyOf(Message &message);
 /** Encodes @p message as CBOR. Thread safe. */
 std::string encodeMessage(const Message &message);
-/** Decodes one message. Errors: Malformed, if @p bytes are not exactly one message of this version. Thread safe. */
+/** Decodes one message. Errors: Malformed, unless @p bytes are exactly one message of this version. Thread safe. */
 Expected<Message> decodeMessage(const std::string &bytes);
 
 } // namespace waxwing
--- a/src/wire/Messages.cpp
+++ b/src/wire/Messages.cpp
@@ -34,7 +34,7 @@
     PathSuspicion,
 };
 
-/** Position of a message's first own field: positions 0 and 1 hold the protocol version and the type. */
+/** Position of the first field of a message's contents. Positions 0 and 1 hold the protocol version and the type. */
 constexpr std::size_t firstField = 2;
 constexpr std::size_t maxHeaders = 1000;
 
@@ -160,7 +160,7 @@
     return NodeRef{value.at(0).get<std::string>(), value.at(1).get<std::uint64_t>()};
 }
 
-/** Resolution of an encoded age, which takes one or two bytes this way. */
+/** Ages are encoded in these steps, so that each takes one or two bytes. */
 constexpr Millis configAgeStep{100};
 constexpr std::uint64_t maxConfigAgeSteps = KnownVersions::maxConfigAge / configAgeStep;
 
