--- a/src/link/LinkFramer.cpp
+++ b/src/link/LinkFramer.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Kinds of frames; the first byte of each frame. */
+/** Kind of a frame, in its first byte. */
 constexpr char messageFrame = 0;
 constexpr char chunkFrame = 1;
 /** A message whose body was sent before it in chunks. */
--- a/src/link/LinkFramer.h
+++ b/src/link/LinkFramer.h
@@ -16,9 +16,9 @@
  * link's earlier messages as history. A large body is removed from its message and sent ahead of it in chunks, of which
  * only a few may be unacknowledged; other messages are sent between the chunks.
  *
- * Without chunks, a message of a few hundred bytes waited behind whole responses of a hundred times its size. On a slow
- * link acknowledgements arrived late, and a path that was only busy was treated as failed. Opens no socket. Not thread
- * safe.
+ * Without chunks, a message of a few hundred bytes waited behind whole responses of a hundred times its size. On a
+ * low-bandwidth link acknowledgements arrived late, and a path that was only busy was treated as failed. Opens no
+ * socket. Not thread safe.
  */
 class LinkFramer
 {
@@ -32,11 +32,11 @@
      */
     bool send(Message message, const Write &write);
     /**
-     * Processes a frame from the peer. Returns a message once it is complete. Writes acknowledgements of chunks, and
-     * the chunks that waited for an acknowledgement, with @p write. Errors: Malformed; Unavailable if @p write failed.
+     * Processes a frame from the peer. Returns a message once it is complete. Uses @p write to acknowledge chunks, and
+     * to send queued chunks when an acknowledgement arrives. Errors: Malformed; Unavailable if @p write failed.
      */
     Expected<std::optional<Message>> receive(const std::string &frame, const Write &write);
-    /** Bytes of large bodies that are not sent yet. */
+    /** Returns the number of bytes of large bodies that are not sent yet. */
     std::size_t queuedBytes() const;
 
 private:
--- a/src/link/MessageDeflate.h
+++ b/src/link/MessageDeflate.h
@@ -11,7 +11,7 @@
 /**
  * Compresses the outgoing messages of one link, in sending order. All messages share one compression history, so header
  * names, hosts and routes take only a few bytes after their first use: traffic between availability zones and regions
- * is billed. The peer must receive every message, in order. Not thread safe.
+ * is billed. The peer must decompress every message, in the same order. Not thread safe.
  */
 class MessageDeflater
 {
--- a/src/link/PeerHub.cpp
+++ b/src/link/PeerHub.cpp
@@ -56,7 +56,7 @@
         bool helloReceived = false;
         bool closed = false;
         SteadyTime since = std::chrono::steady_clock::now();
-        /** When the listening side's Hello was sent or received. */
+        /** When this side sent (incoming link) or received (outgoing link) the Hello of the listening side. */
         std::optional<SteadyTime> helloAt;
         std::vector<std::shared_ptr<FiberLatch>> waiters;
         LinkFramer framer;
@@ -89,7 +89,7 @@
     tl::expected<ExecReply, CallError> sendAndWait(const NodeRef &to, const Endpoint &endpoint,
                                                    const std::function<Message(std::uint64_t)> &messageOf,
                                                    Duration timeout, const std::function<void(std::uint64_t)> &onSent);
-    /** False if the link has closed, or if too many bytes wait to be sent on it. */
+    /** Returns false if the link has closed, or if more than maxBufferedBytes wait to be sent on it. */
     bool canSend(const LinkPtr &link);
     bool writeFrame(const LinkPtr &link, const std::string &frame);
     bool sendOn(const LinkPtr &link, Message message);
@@ -207,7 +207,7 @@
             return;
         }
         if (link->closed) {
-            // The link was closed before it opened. Left open, it would have no owner.
+            // closeLink() ran before the link opened. If it stayed open, nothing would refer to it.
             websocketpp::lib::error_code ignored;
             state->client.close(link->handle, websocketpp::close::status::going_away, "", ignored);
             return;
@@ -238,10 +238,10 @@
         timed.wait();
     }
     if (link->closed) {
-        return fail(ErrorCode::Unavailable, "cannot connect to " + link->endpoint.text());
+        return fail(ErrorCode::Unavailable, "cannot open a link to " + link->endpoint.text());
     }
     if (!link->helloReceived) {
-        // Another waiter may still have time left for the same link.
+        // Before helloTimeout the link stays open: another fiber may still be waiting for its Hello.
         if (std::chrono::steady_clock::now() - link->since >= helloTimeout) {
             closeLink(link, websocketpp::close::status::going_away);
         }
@@ -269,7 +269,7 @@
     }
     if (link->peer != to) {
         return fail(ErrorCode::NotFound,
-                    endpoint.text() + " belongs to " + link->peer.text() + ", not to " + to.text());
+                    "endpoint " + endpoint.text() + " belongs to " + link->peer.text() + ", not to " + to.text());
     }
     return link;
 }
@@ -568,7 +568,7 @@
     if (call->replied) {
         return std::move(call->reply);
     }
-    return tl::unexpected<CallError>(CallError{true, call->linkLost ? "link lost" : "no reply in time"});
+    return tl::unexpected<CallError>(CallError{true, call->linkLost ? "link lost" : "no reply within the timeout"});
 }
 
 tl::expected<ExecReply, CallError> PeerHub::call(const NodeRef &to, const Endpoint &endpoint, Exec exec,
--- a/src/link/PeerHub.h
+++ b/src/link/PeerHub.h
@@ -38,7 +38,7 @@
     struct Hooks {
         /** Receives each message other than Hello, Ping, Pong and ExecReply. */
         std::function<void(LinkId link, const NodeRef &from, Message message)> onMessage;
-        /** Malformed bytes were received; the link is closed. */
+        /** Malformed bytes were received; the link is then closed. */
         std::function<void(const std::string &reason)> onMalformed;
         /** An outgoing link closed. */
         std::function<void(const NodeRef &peer)> onLinkLost;
@@ -61,9 +61,9 @@
     /** Returns the incarnation that listens at @p endpoint. Errors: Unavailable, Timeout. @pre called from a fiber. */
     Expected<NodeRef> discover(const Endpoint &endpoint);
     /**
-     * Returns the open link to @p endpoint. Opens one if there is none, or if @p forceNew is set: a link that fails
-     * without a reset can be recognized only by missing traffic. The replaced link stays open for late replies. Errors:
-     * Unavailable, Timeout (not open within @p timeout). @pre called from a fiber.
+     * Returns the open link to @p endpoint, and opens one if there is none. @p forceNew opens another one, for a link
+     * that may have failed without a reset, which shows only by missing traffic. The replaced link stays open for late
+     * replies. Errors: Unavailable, Timeout (not open within @p timeout). @pre called from a fiber.
      */
     Expected<LinkId> linkAt(const Endpoint &endpoint, Duration timeout, bool forceNew = false);
     /** Returns the open link from this node to @p endpoint, if there is one. */
@@ -71,9 +71,10 @@
     /** Returns the incarnation of the peer; nothing if the link has closed. */
     std::optional<NodeRef> peerOn(LinkId link) const;
     /**
-     * Returns the time since the listening side's Hello was sent (on that side) or received (on the other side). If a
-     * message carries this age, the age at its arrival minus the age in it is the delay of the Hello plus the delay of
-     * the message, independent of the nodes' clocks. Nothing if the link has closed or has no Hello yet.
+     * Returns the time since the listening side's Hello was sent (on that side) or received (on the other side). If the
+     * side that opened the link puts its age into a message, the receiver's own age minus that one is the sum of the
+     * delays of the Hello and of the message, independent of the nodes' clocks. Nothing if the link has closed or has
+     * no Hello yet.
      */
     std::optional<Duration> helloAge(LinkId link) const;
     /** Closes one link. */
@@ -104,9 +105,9 @@
     void closeUnidentified(Duration olderThan);
     /** Closes the outgoing link to @p peer. */
     void disconnect(const NodeRef &peer);
-    /** Number of open links, in both directions. */
+    /** Returns the number of links, incoming and outgoing, open or being opened. */
     std::size_t openLinkCount() const;
-    /** Bytes of messages sent and received since the start. */
+    /** Bytes of frames sent and received since the start. */
     std::uint64_t bytesSent() const;
     std::uint64_t bytesReceived() const;
     /** Closes every link and stops listening. */
