--- a/src/fiber/FiberLoop.h
+++ b/src/fiber/FiberLoop.h
@@ -42,7 +42,7 @@
      * Suspends the calling fiber until release() is called; returns at once if it already was. @pre at most one waiter.
      */
     void wait();
-    /** Resumes the waiter. Repeated calls have no effect. */
+    /** Resumes the waiter. Further calls have no effect. */
     void release();
     bool isReleased() const;
 
--- a/src/fiber/FiberNotifier.h
+++ b/src/fiber/FiberNotifier.h
@@ -7,8 +7,8 @@
 namespace waxwing {
 
 /**
- * Lets one fiber wait repeatedly for notifications, with a timeout. A notification between two waits ends the next wait
- * at once. Not thread safe.
+ * Lets one fiber wait for notifications, with a timeout. Unlike a FiberLatch it can be reused. A notification between
+ * two waits ends the next wait at once. Not thread safe.
  */
 class FiberNotifier
 {
--- a/src/http/HttpClient.cpp
+++ b/src/http/HttpClient.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 constexpr std::size_t maxIdleConnections = 64;
-/** Responses to other requests that are skipped before a connection is closed. */
+/** Number of responses to other requests that are skipped before the connection is closed. */
 constexpr int maxMismatchedResponses = 4;
-/** A connection is not reused this close to the end of the keep-alive time that its peer announced. */
+/** A connection is not reused in this last part of the keep-alive time that its peer announced. */
 constexpr Millis keepAliveMargin{1000};
 /** A live process accepts or refuses a connection within this time. */
 constexpr Millis connectProbeTimeout{250};
@@ -102,7 +102,7 @@
         : stream(context)
     { }
 
-    /** True if the peer has neither closed the connection nor sent anything since the last response. */
+    /** Returns true if the peer has neither closed the connection nor sent anything since the last response. */
     bool isClean()
     {
         boost::system::error_code error;
@@ -202,8 +202,7 @@
         }
         response.body = std::move(message.body());
         const bool matchesRequest = !options.matchesRequest || options.matchesRequest(response);
-        // Surplus bytes, or a response to another request, mean that the peer's order of responses differs from the
-        // order of requests.
+        // Surplus bytes or a response to another request: later responses may not match their requests either.
         connection.reusable =
             message.keep_alive() && connection.buffer.size() == 0 && mismatched == 0 && matchesRequest;
         const std::int64_t seconds = keepAliveSeconds(message[http::field::keep_alive]);
@@ -273,7 +272,7 @@
             return failed(cancelled ? ExchangeFailure::Timeout : connected.error().failure, false);
         }
     }
-    // The write runs while this fiber reads, so its handler keeps the connection and the message alive.
+    // The write runs while this fiber reads and may outlast it, so its handler owns the connection and the message.
     struct Writing {
         http::request<http::string_body> message;
         bool done = false;
--- a/src/http/HttpClient.h
+++ b/src/http/HttpClient.h
@@ -58,11 +58,11 @@
     Duration bodyTimeout = Duration(0);
     ExchangeCancel *cancel = nullptr;
     /**
-     * Connections that were idle for longer are not reused. The peer closes idle connections, and if a request crosses
-     * the close, it is unknown whether the request ran.
+     * Connections that were idle for longer are not reused. The peer closes idle connections, and if a request is sent
+     * at that moment, it is unknown whether the request ran.
      */
     Duration maxIdle = std::chrono::hours(1);
-    /** Uses a new connection, which is closed after the response. */
+    /** Opens a new connection for this exchange and closes it after the response. */
     bool newConnection = false;
     /**
      * Returns false for a response that belongs to another request. It is dropped, and the next response on the
@@ -88,17 +88,17 @@
     tl::expected<HttpResponse, ExchangeError> exchange(const Endpoint &endpoint, const HttpRequest &request,
                                                        Duration timeout, ExchangeCancel *cancel = nullptr);
     /**
-     * As above. The response is read while the request is still being written, so that a response which the peer sends
-     * before it has read a long body is received.
+     * As above. Reads the response while the request is still being written, because the peer may respond before it has
+     * read a long body.
      */
     tl::expected<HttpResponse, ExchangeError> exchange(const Endpoint &endpoint, const HttpRequest &request,
                                                        const ExchangeOptions &options);
-    /** True if a connection to @p endpoint can be opened within @p timeout. @pre called from a fiber. */
+    /** Returns true if a connection to @p endpoint can be opened within @p timeout. @pre called from a fiber. */
     bool acceptsConnections(const Endpoint &endpoint, Duration timeout);
     /**
-     * True if no process listens at @p endpoint, or if it stops listening shortly after. An exiting process closes its
-     * connections before or after its listener, in no fixed order: with a single check, a crash was sometimes missed on
-     * a busy VM, and the request that caused it was sent to a third server. @pre called from a fiber.
+     * Returns true if no process listens at @p endpoint now or shortly after. An exiting process closes its connections
+     * and its listener in no fixed order: with a single check, a crash was sometimes missed on a busy VM, and the
+     * request that caused it was sent to a third server. @pre called from a fiber.
      */
     bool hasStoppedListening(const Endpoint &endpoint);
     /** Closes kept-open connections to @p endpoint. */
--- a/src/http/HttpConnection.cpp
+++ b/src/http/HttpConnection.cpp
@@ -17,20 +17,20 @@
 namespace {
 
 /**
- * Bytes read ahead of the request in progress. Reading ahead detects that the caller closes the connection; a caller
- * that sends more than this before it gets responses is not read any further.
+ * Maximum input buffered behind the requests in progress. Reading ahead detects that the caller closes the connection.
+ * Input beyond this limit stays in the socket until responses have been sent.
  */
 constexpr std::size_t maxReadAhead = 64UL * 1024;
 /**
- * After a rejection, remaining input is read for this long and up to this size: closing a connection with unread bytes
- * resets it, and the reset may overtake the response.
+ * After the last response, remaining input is read for this long and up to this size: closing a connection with unread
+ * bytes resets it, and the reset may overtake the response.
  */
 constexpr Millis lingerTime{500};
 constexpr std::size_t lingerBytes = 1024UL * 1024;
 constexpr unsigned badRequest = 400;
 constexpr unsigned tooLarge = 413;
 constexpr unsigned headersTooLarge = 431;
-/** For waits that only a notification ends. */
+/** For waits that end only with a notification; they are in loops and start again after this time. */
 constexpr Duration noTimeout = std::chrono::hours(1);
 
 SteadyTime now()
@@ -57,8 +57,8 @@
 }
 
 /**
- * Converts the absolute form of a target ("http://host/path") to the origin form. Returns false if the target has
- * neither form.
+ * Converts the absolute form of a target ("http://host/path") to the origin form, and keeps the origin form and "*".
+ * Returns false for any other target.
  */
 bool toOriginForm(http::request<http::string_body> &message)
 {
@@ -108,7 +108,7 @@
     return message;
 }
 
-/** Safe methods (RFC 9110): the only ones that callers pipeline. */
+/** Returns true for the safe methods (RFC 9110). Callers pipeline only these; any other method runs alone. */
 bool isSafeMethod(const std::string &method)
 {
     return method == "GET" || method == "HEAD" || method == "OPTIONS";
@@ -230,7 +230,7 @@
 void HttpConnection::confirmContinue()
 {
     static const std::string continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
-    // An interim response must keep the order of responses, too.
+    // The order of responses includes interim ones.
     if (awaitUntil([this] { return exchanges_.empty(); })) {
         await([&](auto handle) {
             boost::asio::async_write(socket_, boost::asio::buffer(continueResponse), std::move(handle));
@@ -363,8 +363,7 @@
 
 boost::system::error_code HttpConnection::writeSome(Serializer &serializer)
 {
-    // A caller may read a large response slowly. The connection is closed only if the caller reads nothing for this
-    // long.
+    // A caller may read a large response slowly. The connection is closed only if it reads nothing for messageTimeout.
     boost::asio::steady_timer timer(server_->ioContext, server_->limits.messageTimeout);
     timer.async_wait([self = shared_from_this()](boost::system::error_code error) {
         if (!error) {
@@ -418,8 +417,8 @@
     discarding_ = true;
     input_.clear();
     const SteadyTime until = now() + lingerTime;
-    // Input behind the last response is read and dropped. Unread input would turn the close into a reset, which may
-    // destroy that response in transit.
+    // Reads and drops remaining input. Unread input would turn the close into a reset, which may destroy the last
+    // response in transit.
     while (responsesDone_ && !inputEnded_ && discarded_ < lingerBytes && now() < until) {
         readAhead();
         notifier_.wait(server_->ioContext, until - now());
--- a/src/http/HttpConnection.h
+++ b/src/http/HttpConnection.h
@@ -23,7 +23,7 @@
     HttpServer::RejectHook onReject;
     /** Requests that were read and have no response yet. */
     std::size_t inFlight = 0;
-    /** Each response closes its connection. */
+    /** Each connection closes after the responses to the requests that it has read. */
     bool closing = false;
     /** Connections without a request in progress are closed. */
     bool draining = false;
@@ -32,8 +32,7 @@
 /**
  * One connection of an HttpServer. Requests that a caller sends without waiting for responses (pipelining) run
  * concurrently, and their responses are sent complete and in the order of the requests. A request whose method is not
- * safe runs alone: it starts after the requests before it have been answered, and the requests behind it wait for its
- * response.
+ * safe runs alone: it starts after all earlier responses, and the requests behind it wait for its response.
  *
  * A response that closes the connection is the last one: no request behind it has been given to the handler. A caller
  * that resends the requests behind a closing response therefore never has them run twice. Not thread safe.
@@ -59,7 +58,7 @@
     };
     struct ReadRequest {
         HttpRequest request;
-        /** The caller expects no response after this request's. */
+        /** The response to this request is the last one that the caller expects. */
         bool last = false;
     };
     using ExchangePtr = std::shared_ptr<Exchange>;
@@ -70,11 +69,11 @@
     void onInput(boost::system::error_code error, std::size_t bytes);
     /** Notifies the handlers that the caller no longer waits for responses. */
     void onCallerDisconnected();
-    /** Waits for more input until @p until. False if the input has ended or none arrives in time. */
+    /** Waits for more input. Returns false if none has arrived at @p until, or if no more is expected. */
     bool awaitInput(SteadyTime until);
-    /** Waits for the first byte of the next request. False if no further request will be read. */
+    /** Waits for the first byte of the next request. Returns false if no further request will be read. */
     bool awaitFirstByte();
-    /** Waits until @p ready returns true. False if the connection takes no more requests. */
+    /** Waits until @p ready returns true. Returns false if the connection accepts no more requests. */
     bool awaitUntil(const std::function<bool()> &ready);
     std::optional<ReadRequest> readRequest();
     void confirmContinue();
@@ -84,7 +83,7 @@
     void finish(const ExchangePtr &exchange, HttpReply reply);
     /** Writes the completed responses that are next in order. */
     void writeReady();
-    /** False if the connection failed. */
+    /** Writes a response. Returns false if no other response can follow on this connection. */
     bool write(HttpReply reply, bool keepAlive);
     /** Writes the next part of a response once the socket accepts it. */
     boost::system::error_code writeSome(Serializer &serializer);
@@ -107,8 +106,9 @@
     bool requestsDone_ = false;
     /** The last response was written, or writing failed. */
     bool responsesDone_ = false;
-    /** Input is read only to be dropped, and this much was dropped. */
+    /** Input is read only to be discarded. */
     bool discarding_ = false;
+    /** Bytes discarded so far. */
     std::size_t discarded_ = 0;
 };
 
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -79,7 +79,7 @@
     boost::system::error_code error;
     const auto ip = boost::asio::ip::make_address(address, error);
     if (error) {
-        return fail(ErrorCode::Malformed, "not an IP number: " + address);
+        return fail(ErrorCode::Malformed, "not an IP address: " + address);
     }
     const tcp::endpoint endpoint(ip, port);
     state->acceptor.open(endpoint.protocol(), error);
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -66,7 +66,7 @@
 {
 public:
     using Handler = std::function<HttpReply(HttpRequest request, const CallerWatchPtr &caller)>;
-    /** Called with a short reason for each message that was rejected before it reached the handler. */
+    /** Called with a short reason for each connection or request that was rejected before it reached the handler. */
     using RejectHook = std::function<void(const std::string &reason)>;
 
     /** Listens on @p address:@p port (0 picks a free one). Errors: Unavailable. */
@@ -83,9 +83,12 @@
     std::size_t connections() const;
     /** Replaces the limits; they apply from the next request of each connection on. */
     void setLimits(const HttpLimits &limits);
-    /** From now on each response announces that its connection closes; new connections are still accepted. */
+    /**
+     * From now on each connection closes after the responses to the requests that it has read, and its last response
+     * announces this. New connections are still accepted.
+     */
     void announceClose();
-    /** Accepts no new connection, and closes each kept-open one after the response in progress. */
+    /** Accepts no new connection, and closes each open one after the responses in progress. */
     void drain();
 
 private:
