--- a/include/base/Clock.h
+++ b/include/base/Clock.h
@@ -14,7 +14,7 @@
 {
 public:
     virtual ~Clock() = default;
-    /** Monotonic time that includes the time for which the VM is suspended; never goes back. Thread safe. */
+    /** Monotonic time that includes the time for which the VM is suspended; never decreases. Thread safe. */
     virtual SteadyTime now() const = 0;
     /** Wall-clock time for reports and tickets; may jump. Thread safe. */
     virtual WallTime wallNow() const = 0;
--- a/include/base/Findings.h
+++ b/include/base/Findings.h
@@ -21,7 +21,7 @@
     void addAll(const Findings &other, const std::string &prefix = {});
     bool empty() const;
     const std::vector<Finding> &all() const;
-    /** One "place: message" line for each error. */
+    /** Returns one "place: message" line for each error. */
     std::string text() const;
 
 private:
--- a/include/base/Ids.h
+++ b/include/base/Ids.h
@@ -10,7 +10,7 @@
     std::string id;
     std::uint64_t incarnation = 0;
 
-    /** "id@incarnation" with the incarnation in hexadecimal. Thread safe. */
+    /** Returns "id@incarnation" with the incarnation in hexadecimal. Thread safe. */
     std::string text() const;
     bool operator==(const NodeRef &other) const;
     bool operator!=(const NodeRef &other) const;
@@ -21,7 +21,7 @@
 std::uint64_t stableHash(const std::string &text, std::uint64_t seed = 0);
 /** Returns @p value as lower-case hexadecimal without leading zeros. Thread safe. */
 std::string hexText(std::uint64_t value);
-/** True if @p text is 1 to 63 characters of a-z, A-Z, 0-9, '-', '_' and '.', so that it is safe in paths and logs. */
+/** Returns true if @p text is 1 to 63 of a-z, A-Z, 0-9, '-', '_' and '.', which makes it safe in paths and logs. */
 bool isValidName(const std::string &text);
 
 } // namespace waxwing
--- a/include/base/JsonReader.h
+++ b/include/base/JsonReader.h
@@ -22,13 +22,13 @@
     JsonReader(const nlohmann::json &value, std::string place, Findings &findings);
 
     bool has(const std::string &key) const;
-    /** Each of these returns @p fallback if the field is missing; also, and adds a finding, if its value is invalid. */
+    /** Each of these returns @p fallback if the field is missing or invalid, and adds a finding if it is invalid. */
     std::string text(const std::string &key, const std::string &fallback);
     std::string requiredText(const std::string &key);
     bool boolean(const std::string &key, bool fallback);
     std::int64_t integer(const std::string &key, std::int64_t fallback, std::int64_t min, std::int64_t max);
     Millis duration(const std::string &key, Millis fallback, Millis min, Millis max);
-    /** A percentage such as "99.9%", as a fraction of 1. */
+    /** Reads a percentage such as "99.9%" as a fraction of 1. */
     double percentage(const std::string &key, double fallback);
     /** Returns the nested value, or null, and marks it as read. */
     const nlohmann::json &child(const std::string &key);
--- a/include/base/LineWriter.h
+++ b/include/base/LineWriter.h
@@ -23,11 +23,11 @@
     static constexpr std::size_t defaultCapacity = 256UL * 1024;
 
     explicit LineWriter(Sink sink, std::size_t capacity = defaultCapacity);
-    /** Adds @p line and a newline; false if the buffer is full and the line was dropped. */
+    /** Adds @p line and a newline. Returns false if they do not fit, and drops the line. */
     bool add(const std::string &line);
     /** Writes as much as the sink accepts. */
     void flush();
-    /** Lines dropped since the start. */
+    /** Returns the number of lines dropped since the start. */
     std::uint64_t droppedLines() const;
     std::size_t pending() const;
 
--- a/include/base/Metrics.h
+++ b/include/base/Metrics.h
@@ -22,9 +22,9 @@
     /** Adds a sample to the distribution @p name, which is created at first use. */
     void observe(const std::string &name, Duration value);
     std::uint64_t counter(const std::string &name) const;
-    /** All metrics as one JSON document; latencies in milliseconds. */
+    /** Returns all metrics as one JSON document; latencies in milliseconds. */
     std::string json() const;
-    /** All metrics in the text format of Prometheus; latencies in seconds. */
+    /** Returns all metrics in the text format of Prometheus; latencies in seconds. */
     std::string text() const;
 
 private:
--- a/include/kernel/Kernel.h
+++ b/include/kernel/Kernel.h
@@ -41,9 +41,9 @@
         return *service;
     }
 
-    /** Adds a step of the graceful shutdown; steps run in reverse order. */
+    /** Adds a step of the graceful shutdown. The last added step runs first. */
     void onStop(std::function<void()> step);
-    /** Runs each shutdown step once. */
+    /** Runs the shutdown steps. Each step runs once, even if stop() is called again. */
     void stop();
 
 private:
--- a/include/member/NodeRecord.h
+++ b/include/member/NodeRecord.h
@@ -11,7 +11,7 @@
 
 enum class NodeState : std::uint8_t {
     Up = 1,
-    /** Other nodes got no reply from it; it may refute that. */
+    /** Other nodes got no reply from it. It can refute this with a newer record. */
     Down = 2,
     /** It shut down gracefully. */
     Left = 3,
--- a/include/member/RecordTable.h
+++ b/include/member/RecordTable.h
@@ -29,7 +29,7 @@
     using BucketHashes = std::array<std::uint64_t, bucketCount>;
     using Id = std::pair<RecordKind, std::string>;
 
-    /** Called after a record was replaced by a higher version. */
+    /** Called after a new record or a higher version of a record was stored. */
     using ChangeHook = std::function<void(const Record &)>;
 
     /** @p onChange may be empty. */
@@ -39,21 +39,21 @@
     bool merge(const Record &record);
     /** Returns the stored record, or null. Valid until the next merge or drop. */
     const Record *find(RecordKind kind, const std::string &key) const;
-    /** Removes a record locally, as for expired ones; a peer may send it again. */
+    /** Removes a record locally, for example an expired one; a peer may send it again. */
     void drop(RecordKind kind, const std::string &key);
     std::vector<const Record *> all(RecordKind kind) const;
-    /** Records of @p kind whose keys begin with @p prefix. */
+    /** Returns the records of @p kind whose keys begin with @p prefix. */
     std::vector<const Record *> withPrefix(RecordKind kind, const std::string &prefix) const;
     std::size_t size() const;
 
     const BucketHashes &bucketHashes() const;
-    /** Buckets whose hash differs from @p other's. */
+    /** Returns the buckets whose hash differs from the one in @p other. */
     std::vector<std::uint32_t> differingBuckets(const BucketHashes &other) const;
-    /** Keys and versions of the records in @p bucket. @pre bucket < bucketCount. */
+    /** Returns the keys and versions of the records in @p bucket. @pre bucket < bucketCount. */
     std::vector<RecordName> namesIn(std::uint32_t bucket) const;
-    /** Records of @p bucket that are newer here than in @p theirs, or missing there. */
+    /** Returns the records of @p bucket that are newer here than in @p theirs, or missing there. */
     std::vector<Record> newerThan(std::uint32_t bucket, const std::vector<RecordName> &theirs) const;
-    /** True if @p theirs lists a record that is missing or older here. */
+    /** Returns true if @p theirs lists a record that is missing or older here. */
     bool lacksAny(const std::vector<RecordName> &theirs) const;
 
 private:
--- a/include/member/Ring.h
+++ b/include/member/Ring.h
@@ -14,7 +14,7 @@
  */
 std::vector<std::string> gossipPartners(const std::string &self, const std::vector<std::string> &members);
 
-/** Returns the first @p count members in an order that is the same on every node. Thread safe. */
+/** Returns the first @p count members in a hash order of @p topic that is the same on every node. Thread safe. */
 std::vector<std::string> firstByHash(const std::string &topic, const std::vector<std::string> &members,
                                      std::size_t count);
 
--- a/include/settings/NodeSettings.h
+++ b/include/settings/NodeSettings.h
@@ -23,7 +23,7 @@
 /** Parses "127.0.0.1:8080"; an error becomes a finding at @p place. Thread safe. */
 Endpoint parseEndpoint(const std::string &text, const std::string &place, Findings &findings);
 
-/** Limits. A running node reloads them at SIGHUP. */
+/** Limits on memory, traffic and object API calls. A running node reloads them at SIGHUP. */
 struct NodeLimits {
     std::uint64_t bodyBytes = 1024UL * 1024;
     std::uint32_t headerBytes = 16 * 1024;
@@ -45,7 +45,7 @@
     std::uint64_t regionBytesPerSecond = 8UL * 1024 * 1024;
 };
 
-/** Intervals and timeouts of the control protocols. */
+/** Intervals and timeouts of control protocols, tickets, shutdown and ejection. */
 struct NodeTimes {
     Millis ticketValidity = std::chrono::minutes(20);
     Millis announceTimeout = std::chrono::seconds(2);
@@ -81,13 +81,13 @@
      */
     std::optional<LocalServer> server;
     /**
-     * Endpoint of the platform's readiness checks, which tell whether this node accepts callers. @pre set if there is a
-     * local server.
+     * Endpoint that the platform's readiness checks call to find out whether this node accepts callers. @pre set if
+     * there is a local server.
      */
     Endpoint readiness;
     /** Endpoint that serves the metrics as text; port 0: disabled. */
     Endpoint metrics;
-    /** JSON text of the platform's limits on the whole fleet; empty: unknown. */
+    /** JSON text of the platform's limits on the whole fleet, such as its shutdown grace period; empty: unknown. */
     std::string bounds;
     /** Peer endpoints of some nodes, for joining while the object API is unavailable. */
     std::vector<Endpoint> seeds;
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -47,10 +47,10 @@
 /** Buffered bytes that trigger a flush, so that a burst does not fill the pipe's buffer between two flushes. */
 constexpr std::size_t flushThreshold = 16UL * 1024;
 
-// log4cxx's macros refer to this namespace without its parent.
+// The log4cxx macros use this namespace without the log4cxx prefix.
 namespace helpers = log4cxx::helpers;
 
-/** Passes log4cxx's lines to a LineWriter: log4cxx's own appenders block while nobody reads the output. */
+/** Passes log4cxx's lines to a LineWriter: log4cxx's own appenders block while the output is not read. */
 class PipeAppender final : public log4cxx::AppenderSkeleton
 {
 public:
@@ -116,7 +116,7 @@
 void EventLog::writeRequest(Severity severity, std::string name, std::vector<EventField> fields)
 {
     const SteadyTime now = clock_.now();
-    // The lower half of the burst is reserved for failures, which operators are most likely to ask about.
+    // The lower half of the burst is reserved for failures, the events that operators most likely search for.
     const double needed = severity == Severity::Info ? failureReserve_ : 1.0;
     if (!requestLines_.tryTakeAbove(1.0, needed, now)) {
         ++droppedRequestLines_;
--- a/src/base/JsonReader.cpp
+++ b/src/base/JsonReader.cpp
@@ -112,7 +112,7 @@
         return fallback;
     }
     const auto parsed = found->is_string() ? parsePercentage(found->get<std::string>())
-                                           : fail(ErrorCode::Malformed, "must be a share such as \"99.9%\"");
+                                           : fail(ErrorCode::Malformed, "must be a percentage such as \"99.9%\"");
     if (!parsed) {
         findings_.add(placeOf(key), parsed.error().message);
         return fallback;
@@ -157,7 +157,7 @@
     char *end = nullptr;
     const double percent = std::strtod(text.c_str(), &end);
     if (end == text.c_str() || std::string(end) != "%" || !(percent >= 0.0 && percent <= 100.0)) {
-        return fail(ErrorCode::Malformed, "not a share from 0% to 100%: \"" + text + "\"");
+        return fail(ErrorCode::Malformed, "not a percentage from 0% to 100%: \"" + text + "\"");
     }
     return percent / 100.0;
 }
--- a/src/member/RecordTable.cpp
+++ b/src/member/RecordTable.cpp
@@ -46,7 +46,7 @@
     hashes_[bucket] ^= hashOf(record);
     buckets_[bucket][id] = record.version;
     if (onChange_) {
-        // The hook may call merge() and replace the stored record, so it gets the caller's copy.
+        // Passes the caller's record: the hook may call merge(), which may replace the stored one.
         onChange_(record);
     }
     return true;
--- a/src/settings/NodeSettings.cpp
+++ b/src/settings/NodeSettings.cpp
@@ -63,7 +63,7 @@
     reader.rejectUnknown();
     settings.server = std::move(server);
     if (settings.readiness.address.empty()) {
-        findings.add("/listen/readiness", "is needed where there is a /server");
+        findings.add("/listen/readiness", "is required with a /server");
     }
 }
 
@@ -144,7 +144,7 @@
     endpoint.address = text.substr(0, colon);
     if (!hasPort || parsed.ec != std::errc() || parsed.ptr != end || port > std::numeric_limits<std::uint16_t>::max()
         || !isIpAddress(endpoint.address)) {
-        findings.add(place, "must be an IP number and a port such as 127.0.0.1:8080, not \"" + text + "\"");
+        findings.add(place, "must be an IP address and a port such as 127.0.0.1:8080, not \"" + text + "\"");
         return {};
     }
     endpoint.port = static_cast<std::uint16_t>(port);
@@ -163,7 +163,7 @@
     settings.zone = reader.requiredText("zone");
     settings.region = reader.requiredText("region");
     if (!settings.node.empty() && !isValidName(settings.node)) {
-        findings.add("/node", "is 1 to 63 letters, digits, '-', '_' or '.'");
+        findings.add("/node", "must be 1 to 63 letters, digits, '-', '_' or '.'");
     }
     if (!reader.has("listen")) {
         findings.add("/listen", "is missing");
