--- a/tests/integration/BadInputTest.cpp
+++ b/tests/integration/BadInputTest.cpp
@@ -39,8 +39,8 @@
 
 TEST_CASE("node, malformed and oversized and foreign input on every port, answers clearly and serves on")
 {
-    // Guards against a node that stops serving after foreign input: a broken client, a port scanner and a server of a
-    // newer release send bytes to it. Each gets a clear error or a clean close, and other requests still succeed.
+    // Guards against a node that stops serving after invalid input from a broken client, a port scanner or a server of
+    // a newer release. Each of them gets a clear error or a clean close, and other requests still succeed.
     FleetOptions options;
     options.nodes = 1;
     options.floor = "1 servers";
--- a/tests/integration/CrashLogTest.cpp
+++ b/tests/integration/CrashLogTest.cpp
@@ -6,7 +6,7 @@
 using namespace waxwing;
 using namespace waxwing::testing;
 
-// Guards against a process that crashes without a record of where.
+// Guards against a crash that leaves no trace of where the process failed.
 TEST_CASE("crash log, fault or abort of a node, writes one line with the signal and the stack")
 {
     Mesh mesh;
--- a/tests/integration/PipelineTest.cpp
+++ b/tests/integration/PipelineTest.cpp
@@ -64,7 +64,7 @@
         await([&](auto done) { boost::asio::async_write(socket, boost::asio::buffer(bytes), std::move(done)); });
     }
 
-    /** Reads until @p text arrives, the server closes, or readTimeout expires. */
+    /** Reads until @p text arrives, the server closes the connection, or readTimeout expires. */
     std::string readUntil(const std::string &text)
     {
         boost::asio::steady_timer timer(loopContext(), readTimeout);
@@ -154,9 +154,11 @@
     CHECK(static_cast<std::size_t>(std::count(read.begin(), read.end(), 'x')) >= 3 * bodyBytes);
 }
 
-TEST_CASE_FIXTURE(RawCaller, "pipeline, request that asks to close, is answered last and requests behind it never run")
+TEST_CASE_FIXTURE(RawCaller,
+                  "pipeline, request that closes the connection, is answered last and requests behind it never run")
 {
-    // Requests behind a closing response count as not read: their caller resends them, whatever their method.
+    // Guards against requests that run twice: the caller resends all requests behind a closing response, whatever their
+    // method.
     write(get("/2") + get("/1", "Connection: close\r\n") + get("/3"));
     readUntil("");
     CHECK(closed);
@@ -185,8 +187,8 @@
 
 TEST_CASE_FIXTURE(RawCaller, "pipeline, caller that disconnects with requests in progress, has all of them cancelled")
 {
-    // Guards against a close that is noticed only if no unread byte is in the socket: with requests behind the first
-    // one, servers kept working for a caller that was gone.
+    // Guards against a close that is detected only if the socket holds no unread byte: with requests behind the first
+    // one, servers kept working after the caller had disconnected.
     write(get("/50") + get("/60") + get("/70"));
     sleepFor(loopContext(), 2 * unit);
     REQUIRE(started.size() == 3);
@@ -210,7 +212,7 @@
         sleepFor(loopContext(), Millis(2));
     }
     CHECK(maxRunning == 4);
-    // Beyond the limits only the sockets of both ends hold bytes.
+    // Bytes beyond the limits stay in the socket buffers of both ends.
     CHECK(error == boost::asio::error::would_block);
     CHECK(taken < 20 * many.size());
     socket.close();
@@ -219,7 +221,7 @@
 
 TEST_CASE_FIXTURE(RawCaller, "pipeline, shutdown with five requests outstanding, answers all five and runs no sixth")
 {
-    // Closing after the first response would leave four requests that had run without a response.
+    // Guards against a close after the first response, which would leave four executed requests without a response.
     write(get("/5") + get("/4") + get("/3") + get("/2") + get("/1"));
     sleepFor(loopContext(), unit);
     server->announceClose();
--- a/tests/unit/LinkTest.cpp
+++ b/tests/unit/LinkTest.cpp
@@ -21,8 +21,8 @@
         });
     }
 
-    /** Delivers one frame to the sender and, unless @p silent, its acknowledgements to the home. */
-    std::optional<Message> deliver(bool silent = false)
+    /** Delivers one frame to the sender and, unless @p dropAcks, its acknowledgements to the home. */
+    std::optional<Message> deliver(bool dropAcks = false)
     {
         const std::string frame = toSender.front();
         toSender.pop_front();
@@ -33,7 +33,7 @@
         });
         REQUIRE(message.has_value());
         for (const std::string &one : back) {
-            if (!silent) {
+            if (!dropAcks) {
                 REQUIRE(home.receive(one,
                                      [this](const std::string &next) {
                                          toSender.push_back(next);
@@ -130,11 +130,11 @@
 {
     const std::string chunk = std::string(1, '\x01') + std::string(1024UL * 1024, 'x');
     const auto discardFrame = [](const std::string &) { return true; };
-    bool refused = false;
-    for (int i = 0; i < 10 && !refused; ++i) {
-        refused = !sender.receive(chunk, discardFrame).has_value();
+    bool rejected = false;
+    for (int i = 0; i < 10 && !rejected; ++i) {
+        rejected = !sender.receive(chunk, discardFrame).has_value();
     }
-    CHECK(refused);
+    CHECK(rejected);
 }
 
 TEST_CASE("RTT estimator, no samples, returns the minimum timeout")
@@ -153,9 +153,9 @@
 
 TEST_CASE("RTT estimator, path to a busy node, returns a timeout above its round trips")
 {
-    // Acknowledgements from a node with a tenth of a core arrived 100 to 400 ms after the Work. With a timeout of 200
-    // ms for every path, thirty healthy paths a second were treated as failed, and the whole region probed each of
-    // them.
+    // Guards against one timeout for all paths: acknowledgements from a node with a tenth of a core arrived 100 to 400
+    // ms after the Work. With a timeout of 200 ms, thirty healthy paths a second were treated as failed, and the whole
+    // region probed each of them.
     RttEstimator estimator;
     for (int i = 0; i < 50; ++i) {
         estimator.add(std::chrono::milliseconds(100 + 300 * (i % 2)));
--- a/tests/unit/MessageDeflateTest.cpp
+++ b/tests/unit/MessageDeflateTest.cpp
@@ -52,14 +52,14 @@
 
 TEST_CASE_FIXTURE(OneDirection, "message deflate, small frame that expands to a huge message, is rejected")
 {
-    // Guards against a peer, foreign to the fleet, whose frame expands to a thousand times its size: the node would be
-    // killed for its memory use.
+    // Guards against a peer outside the fleet that sends a frame which expands to a thousand times its size: the node
+    // would be killed for its memory use.
     const std::string frame = deflater.deflate(std::string(900000, 'x'));
     REQUIRE(frame.size() < 10000);
     CHECK_FALSE(inflater.inflate(frame, maxBytes).has_value());
 }
 
-TEST_CASE_FIXTURE(OneDirection, "message deflate, bytes that are no deflate stream, are rejected")
+TEST_CASE_FIXTURE(OneDirection, "message deflate, bytes that are not a deflate stream, are rejected")
 {
     CHECK_FALSE(inflater.inflate("\xff\xff\xff\xff not compressed", maxBytes).has_value());
 }
