--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,7 +1,7 @@
 /**
- * Measures the growth rates used by docs/CAPACITY.md that need no processes: bytes, memory and processor time of each
- * kind of state and message, at five sizes over a tenfold range or more, with the least-squares line and its largest
- * residual.
+ * Measures the growth rates in docs/CAPACITY.md that can be measured in one process: bytes, memory and processor time
+ * of each kind of state and message, at five sizes over a tenfold range or more, with the least-squares line and its
+ * largest residual.
  */
 #include "include/claim/ClaimTable.h"
 #include "include/home/ServiceHome.h"
@@ -28,7 +28,7 @@
 
 using namespace waxwing;
 
-/** One measurement. */
+/** The value measured at one size. */
 struct Point {
     double size = 0.0;
     double value = 0.0;
@@ -48,7 +48,7 @@
     return info.uordblks + info.hblkhd;
 }
 
-/** Prints the fitted line value = a + b * size, and the largest residual as a share of the largest value. */
+/** Prints the least-squares line value = base + slope * size, and its largest residual in percent of the maximum. */
 void printFit(const char *name, const char *unit, const std::vector<Point> &points)
 {
     double sx = 0;
--- a/tests/standins/backend.cpp
+++ b/tests/standins/backend.cpp
@@ -28,7 +28,7 @@
 /** How real requests fail; the health endpoint always succeeds. */
 struct Mode {
     std::string name = "ok";
-    /** Share of affected requests. */
+    /** Fraction of affected requests, 0 to 1. */
     double share = 1.0;
     double factor = 5.0;
 };
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Drains: announces that, finishes running requests, then announces that it leaves. */
+    /** Announces draining, waits up to 10 s for running requests to finish, then announces that the server leaves. */
     void stop()
     {
         state_ = ServerState::Draining;
@@ -111,10 +111,10 @@
         for (std::size_t attempts = 0; attempts < options_.homes.size(); ++attempts) {
             Findings ignored;
             const Endpoint home = parseEndpoint(options_.homes[home_ % options_.homes.size()], "", ignored);
-            const auto answer = client_.exchange(
+            const auto response = client_.exchange(
                 home, HttpRequest{"POST", "/v1/announce", {}, announcementJson(announcement)}, announceTimeout);
-            const json body = answer ? json::parse(answer->body, nullptr, false) : json();
-            if (answer && answer->status == 200 && body.is_object() && !body.value("move", false)) {
+            const json body = response ? json::parse(response->body, nullptr, false) : json();
+            if (response && response->status == 200 && body.is_object() && !body.value("move", false)) {
                 return;
             }
             ++home_;
@@ -197,16 +197,16 @@
         } else if (isAffected && mode_.name == "slow") {
             length = Millis(static_cast<std::int64_t>(static_cast<double>(length.count()) * mode_.factor));
         }
-        // Cancellation: the caller closed its connection, and the slot becomes free.
+        // If the caller closes its connection, the request is cancelled and its slot becomes free.
         boost::asio::steady_timer timer(ioContext_, length);
         caller->onDisconnect = [&timer] { timer.cancel(); };
         await([&](auto handle) { timer.async_wait(std::move(handle)); });
         caller->onDisconnect = {};
         --running_;
-        return answer(request, isAffected);
+        return respond(request, isAffected);
     }
 
-    HttpReply answer(const HttpRequest &request, bool isAffected)
+    HttpReply respond(const HttpRequest &request, bool isAffected)
     {
         const std::string id(headerValue(request.headers, "X-Request-Id"));
         const json body = {{"server", options_.name},      {"request", id},
--- a/tests/standins/faultproxy.cpp
+++ b/tests/standins/faultproxy.cpp
@@ -1,6 +1,6 @@
 /**
- * TCP proxy that injects faults between two processes: delay, held traffic in one direction, reset, truncation after
- * some bytes, a freeze, and a bandwidth limit. Faults are set at run time over a control port.
+ * TCP proxy that injects faults between two processes: delay, traffic held in one direction, reset, truncation after
+ * some bytes, a freeze of all open connections, and a bandwidth limit. Faults are set at run time over a control port.
  */
 #include "include/settings/NodeSettings.h"
 #include "src/http/HttpServer.h"
@@ -25,7 +25,7 @@
 /** Faults of one direction. */
 struct Faults {
     std::int64_t delayMs = 0;
-    /** Bytes are held back, as by a one-way network cut, and are sent when the cut ends. */
+    /** Holds bytes back, as a one-way network cut does, and sends them when this is set to false. */
     bool hold = false;
     /** Bytes per second; 0: no limit. */
     std::int64_t bytesPerSecond = 0;
@@ -76,7 +76,7 @@
         read(body.value("fromTarget", json::object()), fromTarget_);
         if (body.contains("silenceOpen")) {
             for (const auto &pair : pairs_) {
-                pair->silent = body["silenceOpen"].get<bool>();
+                pair->frozen = body["silenceOpen"].get<bool>();
             }
         }
         if (body.value("reset", false)) {
@@ -99,8 +99,8 @@
         { }
         tcp::socket caller;
         tcp::socket target;
-        /** Both directions hold their bytes, while connections opened later work. */
-        bool silent = false;
+        /** Holds the bytes of both directions; connections opened later are not affected. */
+        bool frozen = false;
         int pumps = 2;
     };
 
@@ -184,7 +184,7 @@
         if (faults.bytesPerSecond > 0) {
             sleepFor(ioContext_, Millis(1000 * static_cast<std::int64_t>(bytes) / faults.bytesPerSecond));
         }
-        while (faults.hold || pair.silent) {
+        while (faults.hold || pair.frozen) {
             sleepFor(ioContext_, holdPollInterval);
         }
     }
