--- a/tests/integration/UpgradeTest.cpp
+++ b/tests/integration/UpgradeTest.cpp
@@ -122,9 +122,10 @@
             CHECK(fleet_.read(through, "read-" + number + std::to_string(through)).status == 200);
         }
     }
-    for (const auto &[id, count] : fleet_.executions()) {
+    for (const auto &execution : fleet_.executions()) {
+        const std::string &id = execution.first;
         INFO("request " << id);
-        CHECK((count == 1 || id == "started"));
+        CHECK((execution.second == 1 || id == "started"));
     }
     CHECK(eventually([&] { return fleet_.view(nodeCount - 1, "/v1/config") == configBefore; }));
 }
