--- a/include/claim/ClaimTable.h
+++ b/include/claim/ClaimTable.h
@@ -25,9 +25,9 @@
 enum class ClaimDecision {
     /** First attempt: the request may run. */
     Start,
-    /** An attempt is running: wait for its result. */
+    /** An attempt is running: the caller waits for its result. */
     Running,
-    /** An attempt has finished: return its stored response. */
+    /** An attempt has finished: its stored response is returned. */
     Replay,
     /** The request ran, but there was no space left to store its response. */
     ResponseNotStored,
@@ -47,7 +47,7 @@
 
 const char *claimDecisionName(ClaimDecision decision);
 
-/** The result of a claimed request. */
+/** Result of a claimed request. */
 struct ClaimResult {
     Outcome outcome = Outcome::Unknown;
     HttpResponse response;
@@ -99,9 +99,9 @@
     void adopt(const ClaimHandover &handover);
     /** Returns true if @p owner handed its claims over to this node. */
     bool hasAdopted(const NodeRef &owner) const;
-    /** Returns the owners whose tickets this node took over, without itself. */
+    /** Returns the owners that handed their claims over to this node. */
     std::vector<NodeRef> adoptedOwners() const;
-    /** Removes claims whose tickets have expired. */
+    /** Removes claims whose tickets have expired, and adopted owners when all their tickets have expired. */
     void expire();
 
 private:
--- a/include/claim/Ticket.h
+++ b/include/claim/Ticket.h
@@ -23,7 +23,7 @@
     std::string text() const;
     /** Parses the format of text(). Errors: Malformed. Thread safe. */
     static Expected<Ticket> parse(const std::string &text);
-    /** Returns true if @p text has the prefix of a ticket, so it is not a key of the caller's own. Thread safe. */
+    /** Returns true if @p text has the prefix of a ticket. Any other key is the caller's own. Thread safe. */
     static bool looksLikeTicket(const std::string &text);
 };
 
@@ -34,7 +34,7 @@
     /** @pre @p clock outlives the issuer. */
     TicketIssuer(NodeRef self, const Clock &clock);
     Ticket issue();
-    /** Returns the time since this incarnation started, as it is written into tickets. */
+    /** Returns the time since this incarnation started; tickets carry it as their issue time. */
     Millis age() const;
 
 private:
