--- a/include/intent/ClassIntent.h
+++ b/include/intent/ClassIntent.h
@@ -13,16 +13,19 @@
 
 /** How an intent weighs detection time against false ejections. */
 enum class EjectionPolicy {
-    /** Detection time counts more: a server is ejected on little evidence. */
+    /** Favors fast detection: a server is ejected on little evidence. */
     Fast,
     Balanced,
-    /** False ejections count more: a server is ejected only on strong evidence. */
+    /** Favors few false ejections: a server is ejected only on strong evidence. */
     Careful,
 };
 
 const char *ejectionPolicyName(EjectionPolicy policy);
 
-/** Selects requests whose method is listed (all methods if the list is empty) and whose path begins with the prefix. */
+/**
+ * Selects requests whose method is listed (any method if the list is empty) and whose path begins with the prefix. The
+ * prefix matches whole path segments only.
+ */
 struct RouteRule {
     std::vector<std::string> methods;
     std::string prefix;
@@ -41,7 +44,7 @@
     std::string name;
     std::vector<RouteRule> routes;
     bool idempotent = false;
-    /** A request that takes longer counts as late. */
+    /** A request with a longer response time counts as late. */
     Millis responseTime{1000};
     /** Share of requests that must succeed within the response time. */
     double successRate = 0.99;
@@ -59,7 +62,7 @@
     /** Returns the class of a request by longest matching prefix, or null if none matches. */
     const ClassIntent *classFor(const std::string &method, const std::string &path) const;
     const ClassIntent *classNamed(const std::string &name) const;
-    /** Returns a floor that satisfies every class. */
+    /** Returns the lowest floor that satisfies every class. */
     CapacityFloor strictestFloor() const;
 };
 
--- a/src/intent/ClassIntent.cpp
+++ b/src/intent/ClassIntent.cpp
@@ -245,7 +245,7 @@
                                     + std::to_string(intentSchema) + ")");
         return intent;
     }
-    // Written by waxwingctl, which recognises its own write by it after a lost response.
+    // waxwingctl writes this id and identifies its own write by it if the response is lost.
     reader.text("operation", {});
     const nlohmann::json &classes = reader.child("classes");
     if (!classes.is_object() || classes.empty()) {
