--- a/include/report/BurnRecorder.h
+++ b/include/report/BurnRecorder.h
@@ -9,7 +9,7 @@
 
 namespace waxwing {
 
-/** Numbers of requests of a class by result, as seen by the callers. */
+/** Request counts of a class by result, as callers see it. */
 struct BurnCounts {
     std::uint32_t good = 0;
     std::uint32_t late = 0;
@@ -60,7 +60,7 @@
     void record(const std::string &service, const std::string &className, BurnResult result);
     /** Returns the slices by "service/class", oldest first. */
     const std::map<std::string, BurnSlices> &slices() const;
-    /** Returns all slices as JSON. */
+    /** Returns all slices as JSON: by "service/class", lists of start in ms and counts in the order of BurnCounts. */
     std::string json() const;
 
 private:
