--- a/src/node/ClaimService.cpp
+++ b/src/node/ClaimService.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t maxBoundKeys = 10000;
 const std::string keyKind = "key";
 
-/** Returns the object name for a key: a hash, because object names must be short and restricted to safe characters. */
+/** Returns the object name for a key: a hash, because object names must be short and consist of safe characters. */
 std::string keyObjectName(const std::string &service, const std::string &key)
 {
     const std::string text = service + "\n" + key;
@@ -86,7 +86,7 @@
     if (known != boundKeys_.end()) {
         return *Ticket::parse(known->second.first);
     }
-    // Until the object API has answered, an earlier attempt with this key through another node can't be ruled out, so
+    // Until the object API has responded, an earlier attempt with this key through another node can't be ruled out, so
     // these refusals report "unknown". The key makes a resend safe.
     if (!keyWrites_.tryTake(1.0, core_.clock.now())) {
         return refuse(Outcome::Unknown, "key-writes-spent");
@@ -154,17 +154,18 @@
     GossipService &gossip = core_.service<GossipService>("gossip");
     const std::optional<Endpoint> endpoint = gossip.peerEndpoint(holder);
     const NodeRecord *node = gossip.node(holder.id);
-    const bool gone = node != nullptr && (holder.incarnation < node->ref.incarnation || node->state == NodeState::Left);
-    if (!endpoint || gone) {
+    const bool ownerExited =
+        node != nullptr && (holder.incarnation < node->ref.incarnation || node->state == NodeState::Left);
+    if (!endpoint || ownerExited) {
         // The owner's claims were lost with its process. An earlier attempt may have run, and its outcome can't be
         // determined any more.
         core_.metrics.count("claims_owner_gone");
-        return makeReply(Outcome::Unknown, gone || node == nullptr ? "ticket-owner-gone" : "ticket-owner-unknown",
-                         Millis(0));
+        return makeReply(Outcome::Unknown,
+                         ownerExited || node == nullptr ? "ticket-owner-gone" : "ticket-owner-unknown", Millis(0));
     }
-    const auto answer = core_.service<PeerHub>("peers").call(holder, *endpoint, exec, exec.remaining + forwardGrace);
-    if (answer) {
-        return *answer;
+    const auto reply = core_.service<PeerHub>("peers").call(holder, *endpoint, exec, exec.remaining + forwardGrace);
+    if (reply) {
+        return *reply;
     }
     return makeReply(Outcome::Unknown, "ticket-owner-unreachable", Millis(1000));
 }
@@ -299,8 +300,8 @@
             return peers.sendAcknowledged(successor, endpoint, part, ackTimeout).has_value();
         });
         if (!accepted) {
-            // The node may have adopted the claims all the same. That does no harm, because requests are sent only to
-            // the successor named in the record.
+            // The node may still have adopted the claims. That does no harm, because requests are sent only to the
+            // successor that the published record names.
             continue;
         }
         const nlohmann::json body = {successor.id, successor.incarnation};
--- a/src/node/ClaimService.h
+++ b/src/node/ClaimService.h
@@ -18,9 +18,9 @@
 struct ClassIntent;
 
 /**
- * Runs keyed work at most once. All requests with a ticket go to the incarnation that issued it, or to the successor
- * that it named when it stopped. A caller's own key is bound to a ticket by one conditional create in the object API;
- * from then on both kinds of key are handled alike. Not thread safe.
+ * Runs requests with an idempotency key at most once. All requests with a ticket are sent to the incarnation that
+ * issued it, or to the successor that it named when it stopped. A caller's own key is bound to a ticket by one
+ * conditional create in the object API; after that, both kinds of key are handled in the same way. Not thread safe.
  */
 class ClaimService
 {
@@ -30,20 +30,20 @@
 
     std::string issueTicket();
     /**
-     * Runs keyed work that arrived at this node, whichever node owns its ticket. @pre called from a fiber; @p key is
-     * not empty.
+     * Runs a request with an idempotency key that arrived at this node, whichever node owns its ticket. @pre called
+     * from a fiber; @p key is not empty.
      */
     ExecReply run(const std::string &key, Exec exec, const ClassIntent &cls);
     /**
-     * Claims and runs a request as the owner of its ticket, also when another node forwarded it as a Claim. @pre called
-     * from a fiber.
+     * Claims and runs a request at the node that owns its ticket, whether it arrived there or was forwarded by another
+     * node. @pre called from a fiber.
      */
     ExecReply claimLocally(const Exec &exec, const ClassIntent &cls);
     /** Takes over the claims of a stopping node. */
     void adopt(const ClaimHandover &handover);
     /**
-     * Refuses new claims, waits for the running ones at most @p within, and hands the finished ones over to another
-     * node. @pre called from a fiber.
+     * Refuses new claims, waits at most @p within for the running ones, and hands all claims over to another node. If a
+     * claim is still running after the wait, nothing is handed over. @pre called from a fiber.
      */
     void handOver(Duration within);
     void expire();
