--- a/src/node/DispatchService.cpp
+++ b/src/node/DispatchService.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/** Extra wait for a home's reply after the request's time limit: the reply tells whether the request ran. */
+/** Extra wait for a home's reply beyond the reply timeout, because the reply says whether the request ran. */
 constexpr Millis replyGrace{250};
 constexpr Millis minTimeLeft{2};
 constexpr int maxHomes = 4;
 constexpr unsigned firstServerError = 500;
-/** An idempotent request waits this many response times for a home that doesn't reply. */
+/** An idempotent request waits for a home's reply at most this multiple of its class's target response time. */
 constexpr int homeTimeoutFactor = 2;
 
 bool isFinalReason(const std::string &reason)
@@ -93,28 +93,28 @@
     }
     const Millis replyTimeout =
         cls.idempotent ? std::min(exec.remaining, cls.responseTime * homeTimeoutFactor) : exec.remaining;
-    const auto answer = peers.call(home.node, *endpoint, exec, replyTimeout + replyGrace, [&](std::uint64_t id) {
+    const auto result = peers.call(home.node, *endpoint, exec, replyTimeout + replyGrace, [&](std::uint64_t id) {
         control->interrupt = [&peers, id] { peers.cancelCall(id); };
     });
     control->interrupt = {};
     const SteadyTime now = core_.clock.now();
-    if (answer) {
+    if (result) {
         chooser_.notePathRecovered(home.node);
-        chooser_.noteLoad(exec.service, home.node, answer->freeSlots, answer->queued, now);
+        chooser_.noteLoad(exec.service, home.node, result->freeSlots, result->queued, now);
         if (home.distance == Distance::OtherRegion) {
-            regionBytes_.take(static_cast<double>(answer->response.body.size()), now);
-            core_.metrics.count("region_bytes_in", answer->response.body.size());
+            regionBytes_.take(static_cast<double>(result->response.body.size()), now);
+            core_.metrics.count("region_bytes_in", result->response.body.size());
         }
-        return *answer;
+        return *result;
     }
     if (!control->cancelled) {
         // Not an ejection: this node still uses the home as a last resort, and other nodes are not notified.
         chooser_.notePathFailure(home.node, now);
         core_.events.write(Severity::Warning, "path_failed",
-                           {{"home", home.node.text()}, {"service", exec.service}, {"reason", answer.error().reason}});
+                           {{"home", home.node.text()}, {"service", exec.service}, {"reason", result.error().reason}});
     }
-    reply.outcome = answer.error().mayHaveBeenSent ? Outcome::Unknown : Outcome::NotRun;
-    reply.reason = answer.error().mayHaveBeenSent ? "home-silent" : "home-unreachable";
+    reply.outcome = result.error().mayHaveBeenSent ? Outcome::Unknown : Outcome::NotRun;
+    reply.reason = result.error().mayHaveBeenSent ? "home-silent" : "home-unreachable";
     reply.retryAfter = Millis(500);
     return reply;
 }
@@ -158,24 +158,24 @@
         const std::vector<HomeCandidate> all = candidates(exec.service);
         const HomeCandidate *home = chooser_.choose(exec.service, all, tried, now);
         const auto left = std::chrono::duration_cast<Millis>(deadline - now);
-        // A refusal cost the home nothing, so going on to a home with free capacity is not a retry. After a home that
-        // did not reply, it is one.
+        // After a refusal, the next attempt doesn't use the retry budget, because the refusal cost the home nothing.
+        // After an unknown outcome, it does.
         const bool isRetry = reply.outcome == Outcome::Unknown;
         if (home == nullptr || left < minTimeLeft || (isRetry && !budget.tryRetry())) {
             break;
         }
         Exec next = exec;
         next.remaining = left;
-        const ExecReply answer = runAt(*home, next, cls, control);
+        const ExecReply latest = runAt(*home, next, cls, control);
         tried.insert(home->node);
         // The reply of a home that may have run the request takes precedence over a refusal by the next home.
-        const bool keepEarlier = homes > 0 && answer.outcome == Outcome::NotRun && mayHaveRun;
+        const bool keepEarlier = homes > 0 && latest.outcome == Outcome::NotRun && mayHaveRun;
         if (!keepEarlier) {
-            reply = answer;
+            reply = latest;
         }
-        mayHaveRun = mayHaveRun || answer.outcome != Outcome::NotRun;
-        const bool done = answer.outcome == Outcome::Ran || isFinalReason(answer.reason) || control->cancelled
-                          || (answer.outcome == Outcome::Unknown && !cls.idempotent);
+        mayHaveRun = mayHaveRun || latest.outcome != Outcome::NotRun;
+        const bool done = latest.outcome == Outcome::Ran || isFinalReason(latest.reason) || control->cancelled
+                          || (latest.outcome == Outcome::Unknown && !cls.idempotent);
         if (done) {
             break;
         }
--- a/src/node/DispatchService.h
+++ b/src/node/DispatchService.h
@@ -22,9 +22,10 @@
     /** @pre "gossip", "homes" and "peers" are in the kernel. */
     explicit DispatchService(NodeCore &core);
     /**
-     * Runs @p exec at a home. Non-idempotent work goes to another home only if the first home reported that the request
-     * was not run, or this is certain for another reason. Waits slightly longer than the request's remaining time for
-     * the home's own reply. @pre called from a fiber.
+     * Runs @p exec at a home. Non-idempotent work is sent to another home only if it is certain that it was not run:
+     * the home reported so, or the request was never sent. Waits for the home's reply slightly longer than the
+     * request's remaining time; for idempotent work, not much longer than a multiple of the class's response time.
+     * @pre called from a fiber.
      */
     ExecReply run(const Exec &exec, const ClassIntent &cls, const RunControlPtr &control);
     /** Removes stale load and path data. Call about once a second. */
