--- a/src/node/HomeService.cpp
+++ b/src/node/HomeService.cpp
@@ -61,7 +61,7 @@
     SteadyTime deadline;
     std::set<std::string> tried;
     std::string server;
-    /** Set once a byte may have reached a server that did not report the request as not run. */
+    /** Set once a server may have received a part of the request, unless that server reported that it was not run. */
     bool mayHaveRun = false;
     ExecReply reply;
 
@@ -295,26 +295,26 @@
     const auto current = std::prev(attempts_.end());
     ExchangeCancel exchange;
     run.control->interrupt = [&exchange] { exchange.cancel(); };
-    const auto answer = core_.client.exchange(endpoint, request, run.deadline - started, &exchange);
+    const auto response = core_.client.exchange(endpoint, request, run.deadline - started, &exchange);
     run.control->interrupt = {};
     const Attempt finished = *current;
     attempts_.erase(current);
     const SteadyTime now = core_.clock.now();
     run.home->release(run.id, run.server, now - started);
-    if (!answer) {
-        const bool retry = handleFailure(run, finished, answer.error(), incarnation);
+    if (!response) {
+        const bool retry = handleFailure(run, finished, response.error(), incarnation);
         pollQueue(*run.home);
         return retry;
     }
     run.reply.server = run.server;
-    if (isNotRunResponse(*answer)) {
+    if (isNotRunResponse(*response)) {
         core_.metrics.count("server_shed");
         run.tried.insert(run.server);
-        run.setNotRun("server-shed", retryAfterOf(*answer, Millis(1000)));
+        run.setNotRun("server-shed", retryAfterOf(*response, Millis(1000)));
         pollQueue(*run.home);
         return mayRetry(run);
     }
-    const bool fault = isServerFault(answer->status);
+    const bool fault = isServerFault(response->status);
     if (fault) {
         run.home->addEvidence(run.server, Evidence::Failed, now);
     } else if (finished.lateSteps == 0) {
@@ -325,7 +325,7 @@
     run.reply.outcome = Outcome::Ran;
     run.reply.reason.clear();
     run.reply.retryAfter = Millis(0);
-    run.reply.response = *answer;
+    run.reply.response = *response;
     if (fault && run.cls->idempotent && mayRetry(run)) {
         run.tried.insert(run.server);
         return true;
@@ -352,9 +352,9 @@
     bool retry = true;
     while (retry) {
         const ExecReply before = run.reply;
-        const bool hadAnswer = before.outcome == Outcome::Ran;
+        const bool hadResponse = before.outcome == Outcome::Ran;
         if (!admit(run)) {
-            if (hadAnswer) {
+            if (hadResponse) {
                 // The retry found no server, so the first response is returned.
                 run.reply = before;
             }
--- a/src/node/HomeService.h
+++ b/src/node/HomeService.h
@@ -17,7 +17,7 @@
 class FiberLatch;
 
 /**
- * Home of the backend servers that announced themselves here: the only process that hands them work. ServiceHome makes
+ * Home of the backend servers that announced themselves here: the only process that sends them work. ServiceHome makes
  * the decisions, and this service carries them out over HTTP. Not thread safe.
  */
 class HomeService
@@ -36,9 +36,9 @@
     ExecReply run(const Exec &exec, const RunControlPtr &control);
     /** Returns the homes of this node by service, with their servers. */
     const std::map<std::string, std::unique_ptr<ServiceHome>> &homes() const;
-    /** Adds the result of a request that this node sent to another home's server. */
+    /** Adds evidence from a request that this node sent to another home; see ServiceHome::addPeerEvidence(). */
     void addPeerEvidence(const std::string &service, bool bad);
-    /** Asks servers, in the replies to their announcements, to move to another home. */
+    /** Redirects servers to other homes, in the replies to their announcements. */
     void redirectServers();
     std::size_t running() const;
     /** Returns the number of servers that are announced here and have not moved to another home yet. */
@@ -58,8 +58,8 @@
         RunControlPtr control;
     };
     /**
-     * A request that failed without a response. Whether its server crashed becomes known when that server announces
-     * itself again with another incarnation.
+     * A request whose connection broke before the response was complete. If its server announces itself with another
+     * incarnation soon after, the server crashed.
      */
     struct UnconfirmedDeath {
         std::string service;
--- a/src/node/IngressService.cpp
+++ b/src/node/IngressService.cpp
@@ -143,13 +143,14 @@
     ++running_;
     ExecReply reply = runAdmitted(admitted, caller);
     --running_;
-    return answer(admitted, std::move(reply), core_.clock.now() - started);
+    return makeReply(admitted, std::move(reply), core_.clock.now() - started);
 }
 
 ExecReply IngressService::runAdmitted(const Admitted &admitted, const CallerWatchPtr &caller)
 {
     if (!admitted.key.empty()) {
-        // Keyed work continues without its caller, who may resend it and then expects the same response.
+        // A request with a key continues after its caller disconnects, because the caller may resend it and must then
+        // get the same response.
         return core_.service<ClaimService>("claims").run(admitted.key, admitted.exec, *admitted.cls);
     }
     const auto control = std::make_shared<RunControl>();
@@ -174,7 +175,7 @@
     core_.metrics.observe("request", took);
 }
 
-HttpReply IngressService::answer(const Admitted &admitted, ExecReply reply, Duration took)
+HttpReply IngressService::makeReply(const Admitted &admitted, ExecReply reply, Duration took)
 {
     record(admitted, reply, took);
     if (reply.outcome != Outcome::Ran) {
@@ -188,8 +189,8 @@
                             {"key", admitted.key}});
     }
     HttpReply out;
-    const bool hasAnswer = reply.outcome == Outcome::Ran && reply.reason.empty();
-    if (hasAnswer) {
+    const bool hasResponse = reply.outcome == Outcome::Ran && reply.reason.empty();
+    if (hasResponse) {
         out.response = std::move(reply.response);
     } else {
         const nlohmann::json body = {{"outcome", outcomeName(reply.outcome)}, {"reason", reply.reason}};
@@ -200,7 +201,7 @@
     if (!reply.server.empty()) {
         out.response.headers.emplace_back("Waxwing-Server", reply.server);
     }
-    if (!hasAnswer && reply.retryAfter > Millis(0)) {
+    if (!hasResponse && reply.retryAfter > Millis(0)) {
         out.response.headers.emplace_back("Retry-After", retryAfterSeconds(reply.retryAfter));
         out.response.headers.emplace_back(retryAfterMsHeader, std::to_string(reply.retryAfter.count()));
     }
@@ -211,8 +212,8 @@
 {
     spawnFiber([this, link, exec] {
         ExecReply reply;
-        // Without the class, the owner of a ticket can't rule out an earlier attempt, so it reports Unknown. A home can
-        // report NotRun.
+        // The class is unknown here, so the request is not run now. The owner of a ticket can't rule out an earlier
+        // attempt and reports Unknown; a home reports NotRun.
         reply.outcome = exec.stage == ExecStage::Claim ? Outcome::Unknown : Outcome::NotRun;
         reply.reason = "unknown-class";
         reply.retryAfter = Millis(500);
--- a/src/node/IngressService.h
+++ b/src/node/IngressService.h
@@ -18,7 +18,7 @@
 
 /**
  * Caller-facing side of a node: classifies each request, runs it, and reports how it ended in the status and in the
- * header Waxwing-Outcome. Refusals are sent at once. Not thread safe.
+ * header Waxwing-Outcome. Refusals are returned without delay. Not thread safe.
  */
 class IngressService
 {
@@ -37,7 +37,7 @@
     struct Admitted;
 
     ExecReply runAdmitted(const Admitted &admitted, const CallerWatchPtr &caller);
-    HttpReply answer(const Admitted &admitted, ExecReply reply, Duration took);
+    HttpReply makeReply(const Admitted &admitted, ExecReply reply, Duration took);
     HttpReply refuse(unsigned status, const std::string &reason, const std::string &message, Millis retryAfter);
     void record(const Admitted &admitted, const ExecReply &reply, Duration took);
 
