--- a/src/node/FloorService.cpp
+++ b/src/node/FloorService.cpp
@@ -60,8 +60,8 @@
 bool FloorService::writeProposal(const std::string &service, ServiceHome &home)
 {
     HomeFloor &floor = home.floor();
-    // Only one home absorbs the pledges of homes that are gone. If every home did, the loss of a zone would cause one
-    // write for each pair of homes.
+    // Only one home absorbs the pledges of homes that are no longer up. If every home did, the loss of a zone would
+    // cause one write for each pair of homes.
     std::vector<std::string> homes;
     for (const NodeRecord *node : core_.service<GossipService>("gossip").homesOf(service)) {
         homes.push_back(node->ref.id);
--- a/src/node/FloorService.h
+++ b/src/node/FloorService.h
@@ -24,8 +24,9 @@
 
 private:
     void loop();
-    /** Both return false if the object API could not be reached. */
+    /** Reads the stored pledges if @p home needs newer ones. Returns false if the object API could not be reached. */
     bool readIfNeeded(const std::string &service, ServiceHome &home);
+    /** Writes the pledge that @p home proposes, if any. Returns false if the object API could not be reached. */
     bool writeProposal(const std::string &service, ServiceHome &home);
 
     NodeCore &core_;
--- a/src/node/GossipService.cpp
+++ b/src/node/GossipService.cpp
@@ -18,10 +18,10 @@
  * Poison and successor records carry their creation time as the version and are dropped once they are older than this.
  */
 constexpr Millis shortLivedRetention = std::chrono::hours(2);
-/** Sequence of the record with which a node leaves: above every sequence that the node itself or others use for it. */
+/** Sequence of the record that a leaving node publishes; higher than any other sequence used for the node. */
 constexpr std::uint64_t leftSequence = 1ULL << 40;
 constexpr std::size_t maxRecordsPerMessage = 500;
-/** A smaller record is hardly larger than its name. */
+/** Records up to this size in bytes are always sent in full, because they are hardly larger than their names. */
 constexpr std::size_t largePayload = 120;
 constexpr std::size_t eagerPartners = 3;
 constexpr Millis fetchDelay{150};
--- a/src/node/GossipService.h
+++ b/src/node/GossipService.h
@@ -17,8 +17,8 @@
 
 /**
  * Distributes records over the fleet and tracks the state of its nodes from them. Changes are pushed to the ring's
- * partners at once; every few seconds the table's digest is compared with one partner's, which repairs what a lost link
- * or an outage left out. A node that finds itself declared down refutes it. Not thread safe.
+ * partners at once. Every few seconds the table's digest is compared with one partner's, which recovers the updates
+ * that were lost with a link or in an outage. A node that is declared down while it is up refutes it. Not thread safe.
  */
 class GossipService
 {
@@ -38,7 +38,7 @@
     void publish(const Record &record);
     /** Like publish(), but pushes the record at once instead of with the next batch. */
     void publishNow(const Record &record);
-    /** Sets the services homed here and their numbers of servers in service; published when they change. */
+    /** Sets the number of servers in service here for each service, and publishes the numbers if they changed. */
     void publishServices(std::map<std::string, std::uint32_t> services);
     /** Handles a gossip message. Returns false for messages of another kind. */
     bool handle(LinkId link, const NodeRef &from, const Message &message);
@@ -50,7 +50,7 @@
     std::vector<const NodeRecord *> nodes() const;
     /** Returns the ids of the nodes that are up, including this one. */
     std::vector<std::string> upIds() const;
-    /** Returns the homes with servers of @p service, including this node. */
+    /** Returns the nodes that are up and home to servers of @p service, including this node. */
     std::vector<const NodeRecord *> homesOf(const std::string &service) const;
     /** Returns the nodes that this one keeps links to. */
     std::vector<std::string> partners() const;
--- a/src/node/MembershipService.cpp
+++ b/src/node/MembershipService.cpp
@@ -31,16 +31,16 @@
     spawnFiber([this] { pingLoop(); });
 }
 
-void MembershipService::declareDown(const NodeRecord &gone)
+void MembershipService::declareDown(const NodeRecord &node)
 {
-    const Record *held = gossip_.table().find(RecordKind::Node, gone.ref.id);
-    if (held == nullptr || held->version.major != gone.ref.incarnation) {
+    const Record *held = gossip_.table().find(RecordKind::Node, node.ref.id);
+    if (held == nullptr || held->version.major != node.ref.incarnation) {
         return;
     }
-    NodeRecord down = gone;
+    NodeRecord down = node;
     down.state = NodeState::Down;
     down.services.clear();
-    core_.events.write(Severity::Warning, "node_declared_down", {{"node", gone.ref.text()}, {"reason", "silent"}});
+    core_.events.write(Severity::Warning, "node_declared_down", {{"node", node.ref.text()}, {"reason", "silent"}});
     gossip_.publish(toRecord(down, held->version.minor + 1));
 }
 
@@ -102,7 +102,7 @@
                 joinThrough(seed);
             }
         }
-        // Nodes that were declared down may only have been partitioned, and both sides must be able to join again.
+        // Nodes that were declared down may only have been partitioned, so this node keeps trying to reach them.
         std::vector<Endpoint> down;
         for (const NodeRecord *one : gossip_.nodes()) {
             if (one->state == NodeState::Down) {
@@ -132,16 +132,17 @@
             unansweredSince_.emplace(id, core_.clock.now());
             spawnFiber([this, &peers, ref = one->ref, endpoint = Endpoint{one->address, one->peerPort}] {
                 const Expected<void> pong = peers.ping(ref, endpoint, core_.settings.times.ping);
-                const NodeRecord *now = gossip_.node(ref.id);
+                const NodeRecord *current = gossip_.node(ref.id);
                 if (pong) {
                     unansweredSince_.erase(ref.id);
-                } else if (now != nullptr && now->ref == ref && now->state == NodeState::Up && !core_.stopping) {
+                } else if (current != nullptr && current->ref == ref && current->state == NodeState::Up
+                           && !core_.stopping) {
                     const auto since = unansweredSince_.find(ref.id);
                     const bool tooLong = since != unansweredSince_.end()
                                          && core_.clock.now() - since->second >= core_.settings.times.pingTimeout;
                     if (tooLong) {
                         peers.disconnect(ref);
-                        declareDown(NodeRecord(*now));
+                        declareDown(NodeRecord(*current));
                         unansweredSince_.erase(ref.id);
                     }
                 }
--- a/src/node/MembershipService.h
+++ b/src/node/MembershipService.h
@@ -12,9 +12,9 @@
 class GossipService;
 
 /**
- * Joins the fleet at the start, through the object API or the seeds in the settings, and pings the ring's partners: one
- * that stops answering is declared down. Membership affects preference only: no guarantee depends on two nodes agreeing
- * about it. Not thread safe.
+ * Joins the fleet through the object API or the seeds in the settings, and pings the ring's partners: one that doesn't
+ * respond within the ping timeout is declared down. Membership only affects which nodes are preferred; no guarantee
+ * depends on two nodes agreeing about it. Not thread safe.
  */
 class MembershipService
 {
@@ -29,7 +29,7 @@
     void joinThrough(const Endpoint &endpoint);
     void joinFromStore();
     void pingLoop();
-    void declareDown(const NodeRecord &gone);
+    void declareDown(const NodeRecord &node);
 
     NodeCore &core_;
     GossipService &gossip_;
