--- a/include/node/Node.h
+++ b/include/node/Node.h
@@ -31,9 +31,9 @@
     /** Applies the settings that may change at run time: limits and times. */
     void reload(const NodeSettings &settings);
     /**
-     * Graceful shutdown: accepts no new work, redirects its servers to other homes, hands over its claims, finishes the
-     * requests in flight and announces to the fleet that it leaves. @pre called from a fiber. Returns false if work was
-     * still running at the time limit.
+     * Shuts down gracefully: accepts no new work, redirects its servers to other homes, hands over its claims, finishes
+     * the requests in flight and announces to the fleet that it leaves. Returns false if requests were still running at
+     * the time limit. @pre called from a fiber.
      */
     bool stop();
 
--- a/src/node/IntentService.cpp
+++ b/src/node/IntentService.cpp
@@ -122,8 +122,8 @@
         }
         if (changes->complete) {
             for (const auto &[name, entry] : std::map<std::string, Entry>(entries_)) {
-                const bool gone = listed.count(name) == 0 && entry.intent && entry.revision <= changes->revision;
-                if (gone) {
+                const bool deleted = listed.count(name) == 0 && entry.intent && entry.revision <= changes->revision;
+                if (deleted) {
                     gossip.publish(recordOf(StoredObject{serviceKind, name, changes->revision, true, {}}));
                 }
             }
--- a/src/node/IntentService.h
+++ b/src/node/IntentService.h
@@ -19,7 +19,7 @@
 /**
  * The configuration in force at this node. A few nodes, chosen by a hash that every node computes alike, watch the
  * object API. The others receive updates by gossip, so the number of open watches doesn't grow with the fleet. A
- * version is replaced only by a higher one, so configuration never goes back, whatever the order in which updates
+ * version is replaced only by a higher one, so the configuration never reverts, whatever the order in which updates
  * arrive. Not thread safe.
  */
 class IntentService
--- a/src/node/NodeCore.h
+++ b/src/node/NodeCore.h
@@ -38,12 +38,12 @@
     HttpClient client;
     std::mt19937_64 random;
     Kernel kernel;
-    /** Set when a graceful shutdown begins: no new work is accepted. */
+    /** Set when a graceful shutdown begins; no new work is accepted from then on. */
     bool draining = false;
-    /** Set when a graceful shutdown ends: background loops exit. */
+    /** Set when a graceful shutdown ends; the background loops exit, except the ticks of HomeService. */
     bool stopping = false;
 
-    /** Returns a service that must exist. Aborts if it is missing, because that is a bug in the setup of the node. */
+    /** Returns a service of the kernel. Aborts if it is missing, because that is a bug in the setup of the node. */
     template<typename T>
     T &service(const std::string &name)
     {
--- a/src/node/OperatorApi.cpp
+++ b/src/node/OperatorApi.cpp
@@ -111,7 +111,7 @@
         }
         return reply(404, dump({{"error", "unknown path"}, {"known", "POST /v1/announce, GET" + known}}));
     }
-    // Every view takes at most one argument, under any name.
+    // A view takes at most one query parameter, whose name is ignored.
     const std::size_t equals =
         request.target.find('=', queryStart == std::string::npos ? request.target.size() : queryStart);
     const std::string argument = equals == std::string::npos ? "" : request.target.substr(equals + 1);
@@ -185,10 +185,10 @@
 
 std::string OperatorApi::newestEvents(const std::string &count) const
 {
-    const long asked = std::strtol(count.c_str(), nullptr, 10);
-    const std::size_t wanted =
-        asked > 0 ? std::min<std::size_t>(maxEvents, static_cast<std::size_t>(asked)) : defaultEvents;
-    return dump({{"node", core_.self.id}, {"events", eventsJson(core_.events.newest(wanted))}});
+    const long requested = std::strtol(count.c_str(), nullptr, 10);
+    const std::size_t limit =
+        requested > 0 ? std::min<std::size_t>(maxEvents, static_cast<std::size_t>(requested)) : defaultEvents;
+    return dump({{"node", core_.self.id}, {"events", eventsJson(core_.events.newest(limit))}});
 }
 
 } // namespace waxwing
--- a/src/node/OperatorApi.h
+++ b/src/node/OperatorApi.h
@@ -10,7 +10,7 @@
 
 struct NodeCore;
 
-/** HTTP API of a node for announcements of backend servers and for operators' tools. Not thread safe. */
+/** HTTP API of a node for the announcements of backend servers and for operator tools. Not thread safe. */
 class OperatorApi
 {
 public:
--- a/src/node/PoisonService.h
+++ b/src/node/PoisonService.h
@@ -10,7 +10,10 @@
 
 struct NodeCore;
 
-/** Distributes the deaths of servers, each with the request that was running, to all nodes. Not thread safe. */
+/**
+ * Distributes to all nodes which servers died, each with the request that it was running, so that poison requests are
+ * refused everywhere. Not thread safe.
+ */
 class PoisonService
 {
 public:
@@ -20,7 +23,7 @@
     PoisonService(NodeCore &core, BroadcastHook broadcast);
     /** Applies another node's record of a death. */
     void applyRecord(const Record &record);
-    /** Records that a server died while it ran the request with this digest. @p server includes its incarnation. */
+    /** Records that a server died while it ran the request with @p digest. @p server includes its incarnation. */
     void noteDeath(std::uint64_t digest, const std::string &server);
     bool mustRefuse(std::uint64_t digest) const;
     std::size_t deaths(std::uint64_t digest) const;
--- a/src/node/RunControl.h
+++ b/src/node/RunControl.h
@@ -7,10 +7,10 @@
 
 namespace waxwing {
 
-/** Cancels a request from the caller's side, when its connection closes or its node sends a Cancel. */
+/** Lets the caller's side cancel a request, when the caller's connection closes or its node sends a Cancel. */
 struct RunControl {
     bool cancelled = false;
-    /** The request is cancelled unless it has started to run. */
+    /** Set if the request is to be cancelled unless it has started to run. */
     bool queuedCancelled = false;
     /** Interrupts the current wait for a server or the current exchange. */
     std::function<void()> interrupt;
