--- a/src/ctl/BurnPage.h
+++ b/src/ctl/BurnPage.h
@@ -20,7 +20,7 @@
 std::string burnText(const std::vector<ClassBurn> &classes);
 /** Formats the burn report as JSON. Thread safe. */
 std::string burnJson(const std::vector<ClassBurn> &classes);
-/** Formats the burn report as one HTML page with a plot for each class, for readers outside operations. Thread safe. */
+/** Formats the burn report as an HTML page with a plot for each class, for readers outside operations. Thread safe. */
 std::string burnHtml(const std::vector<ClassBurn> &classes, const std::string &generatedAt);
 
 } // namespace waxwing
--- a/src/ctl/Commands.cpp
+++ b/src/ctl/Commands.cpp
@@ -149,8 +149,8 @@
 
 Commands::ApplyResult Commands::resolveUnknownWrite(const std::string &service, const json &value, std::uint64_t base)
 {
-    // The write may have taken effect although its response was lost. It is recognised by its operation id, and
-    // repeated only on condition of the same base version, so it can't be applied twice.
+    // The write may have taken effect although its response was lost. The operation id shows whether it did. The write
+    // is repeated only on condition of the same base version, so it can't be applied twice.
     const std::string operation = value.at("operation").get<std::string>();
     for (int tried = 0; tried < maxResolveAttempts; ++tried) {
         sleepFor(ioContext_, resolveInterval);
--- a/src/ctl/FleetClient.h
+++ b/src/ctl/FleetClient.h
@@ -22,11 +22,14 @@
 {
 public:
     FleetClient(HttpClient &client, Endpoint first);
-    /** Returns every node that the first node lists. Errors: Unavailable, Malformed. */
+    /** Returns the nodes that the node given to the constructor lists. Errors: Unavailable, Malformed. */
     Expected<std::vector<FleetMember>> members();
     /** Returns a view of one node, such as "/v1/status". Errors: Unavailable, Malformed. */
     Expected<nlohmann::json> view(const Endpoint &operators, const std::string &target);
-    /** Returns the same view of every node that is up, by node name; nodes that don't respond are left out. */
+    /**
+     * Returns the same view of every node that is up, by node name; nodes that don't respond are left out. Errors:
+     * Unavailable or Malformed if the list of nodes can't be read.
+     */
     Expected<std::map<std::string, nlohmann::json>> viewAll(const std::string &target);
 
 private:
--- a/src/ctl/IntentFile.h
+++ b/src/ctl/IntentFile.h
@@ -12,7 +12,7 @@
 
 /** The intents of one service as an operator wrote them. */
 struct IntentDocument {
-    /** The intents without the tool's own fields. */
+    /** The intents without the field "revision". */
     nlohmann::json intents;
     /** Revision that the operator's change is based on; 0 if the file names none. */
     std::uint64_t revision = 0;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -44,8 +44,8 @@
 }
 
 /**
- * Returns the wall time in microseconds: it grows with each start, and a VM keeps no state across starts that could
- * hold a counter.
+ * Returns the wall time in microseconds, which grows with each start. A counter would need state that a VM doesn't keep
+ * across starts.
  */
 std::uint64_t newIncarnation()
 {
@@ -54,9 +54,9 @@
             .count());
 }
 
-/** Interval of checks for changes of the settings file that come without a signal. */
+/** Poll interval of the settings file, which may change without a signal. */
 constexpr Millis settingsPollInterval{1000};
-/** A killed process loses at most the log lines of this time. */
+/** Interval of log flushes; a killed process loses at most the log lines of one interval. */
 constexpr Millis logFlushInterval{200};
 
 std::string readFile(const std::string &path)
@@ -67,7 +67,7 @@
     return text.str();
 }
 
-/** Reloads the settings file whenever its content changes, with or without a signal. */
+/** Reloads the settings file when its content changes, with or without a signal. Ignores invalid settings. */
 template<typename AnyNode>
 class SettingsWatch
 {
