--- a/tests/unit/ClaimTableTest.cpp
+++ b/tests/unit/ClaimTableTest.cpp
@@ -57,7 +57,7 @@
     CHECK(table.begin(ticket, issuer.age(), digest + 1) == ClaimDecision::OtherRequest);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "claim, finished with unknown outcome, stays unknown")
+TEST_CASE_FIXTURE(OwnerFixture, "claim, finished with an unknown outcome, stays unknown")
 {
     const Ticket ticket = issuer.issue();
     begin(ticket);
@@ -76,7 +76,7 @@
 TEST_CASE_FIXTURE(OwnerFixture, "claim, resent after its entry was removed, is refused as expired")
 {
     // Guards against a second execution of a booking that is resent after hours. The owner has removed the claim by
-    // then, so the age in the ticket itself must show that the ticket is too old to start.
+    // then, so it must refuse the ticket because of the issue time in the ticket itself.
     const Ticket ticket = issuer.issue();
     begin(ticket);
     table.finish(ticket, ran("seat"));
@@ -111,10 +111,11 @@
     CHECK(begin(Ticket{self, std::chrono::hours(5), 1}) == ClaimDecision::NotOwner);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "handover, used and unused and expired tickets, are decided alike by the successor")
+TEST_CASE_FIXTURE(OwnerFixture,
+                  "handover, used and unused and expired tickets, get the owner's decisions from the successor")
 {
-    // A node is replaced while callers still hold its tickets. The successor must replay what ran, start what never
-    // ran, and refuse tickets so old that the stopped node may have removed their claims.
+    // A node is replaced while callers still hold its tickets. The successor must replay the responses of requests that
+    // ran, start unused tickets, and refuse tickets so old that the stopped node may have removed their claims.
     const Ticket old = issuer.issue();
     clock.advance(limits.validity);
     const Ticket used = issuer.issue();
@@ -136,9 +137,8 @@
 
 TEST_CASE_FIXTURE(OwnerFixture, "handover, larger than one message, takes effect only when it is complete")
 {
-    // The claims of a stopping node with many stored responses don't fit into one message of a link, and the stop must
-    // not lose them. Guards against a successor that received only a part and starts tickets whose use is in the
-    // missing part.
+    // The claims of a stopping node with many stored responses don't fit into one message, and none may be lost. Guards
+    // against a successor that received only some of the messages and starts a used ticket whose claim is in another.
     ClaimTable many(self, clock, ClaimLimits{1000, 1000000, std::chrono::minutes(10)});
     std::vector<Ticket> used;
     for (int i = 0; i < 40; ++i) {
@@ -167,8 +167,8 @@
 TEST_CASE("claims, random schedules of resends, kills, handovers and lost responses, run each key at most once")
 {
     // Callers resend through any node while nodes are killed, stopped gracefully, or suspended between the claim and
-    // the result; responses are lost at random. 600 seeded schedules; executions counts every run. A suspended node
-    // resumes and finishes what it had started after others were asked about the same ticket.
+    // the execution; responses are lost at random. A suspended node resumes and executes the request after the same
+    // ticket was resent, also through other nodes. Runs 600 seeded schedules and counts every execution.
     constexpr int schedules = 600;
     int runs = 0;
     int refusedNew = 0;
@@ -215,8 +215,8 @@
             const auto kind = random() % 20;
             if (kind == 0) {
                 const std::string id = "x" + std::to_string(step);
-                Owner &gone = live();
-                gone.dead = true;
+                Owner &killed = live();
+                killed.dead = true;
                 addOwner(id);
             } else if (kind == 1) {
                 Owner &leaving = live();
@@ -286,5 +286,5 @@
         }
     }
     CHECK(runs > schedules);
-    MESSAGE("runs " << runs << ", attempts refused because the owner was gone " << refusedNew);
+    MESSAGE("runs " << runs << ", attempts refused because the owner was dead " << refusedNew);
 }
