--- a/tests/integration/AtMostOnceTest.cpp
+++ b/tests/integration/AtMostOnceTest.cpp
@@ -33,30 +33,30 @@
 
 } // namespace
 
-TEST_CASE("fleet, a request through each of three nodes, gets the complete response")
+TEST_CASE("fleet, request through each of three nodes, gets the complete response")
 {
     Fleet fleet;
     for (int node = 0; node < 3; ++node) {
         const std::string id = "whole-" + std::to_string(node);
-        const CallResult answer = fleet.read(node, id);
-        CHECK(answer.status == 200);
-        CHECK(answer.outcome == "ran");
-        CHECK(answer.body.find("\"" + id + "\"") != std::string::npos);
+        const CallResult result = fleet.read(node, id);
+        CHECK(result.status == 200);
+        CHECK(result.outcome == "ran");
+        CHECK(result.body.find("\"" + id + "\"") != std::string::npos);
     }
 }
 
 TEST_CASE("booking, same ticket or own key sent through every node, runs once")
 {
-    // A client times out and resends its booking through any node. Guards against a second execution: every copy must
-    // return the result of the first one.
+    // Guards against a second execution when a client times out and resends its booking through another node: every
+    // attempt must return the result of the first one.
     Fleet fleet;
     const std::string ticket = fleet.ticket(0);
     for (const std::string &key : {ticket, std::string("own-key-1")}) {
         const std::string id = "resent-" + std::to_string(key == ticket);
         for (int node = 0; node < 3; ++node) {
-            const CallResult answer = fleet.book(node, id, key);
-            CHECK(answer.outcome == "ran");
-            CHECK(answer.status == 200);
+            const CallResult result = fleet.book(node, id, key);
+            CHECK(result.outcome == "ran");
+            CHECK(result.status == 200);
         }
         CHECK(fleet.executions()[id] == 1);
         const CallResult other = fleet.book(1, "other", key, "another seat");
@@ -67,8 +67,8 @@
 
 TEST_CASE("booking, node killed while many run, no key runs twice")
 {
-    // A node dies with bookings in flight, and the callers resend them through the other nodes at once. Bookings whose
-    // ticket the dead node issued may have run: they must be reported as "unknown" and never run again.
+    // A node is killed with bookings in flight, and the callers resend them through the other nodes at once. Bookings
+    // with a ticket of the killed node may have run: they must be reported as "unknown" and never run again.
     FleetOptions options;
     options.workMs = 60;
     Fleet fleet(options);
@@ -81,9 +81,9 @@
             const std::string key = i % 2 == 0 ? fleet.ticket(i % 3) : "own-" + std::to_string(i);
             pause(Millis(i * 8));
             for (int attempt = 0; attempt < 4; ++attempt) {
-                const CallResult answer = fleet.book((i + attempt) % 3, id, key);
-                reported[id] = answer.outcome.empty() ? "unknown" : answer.outcome;
-                if (answer.outcome == "ran") {
+                const CallResult result = fleet.book((i + attempt) % 3, id, key);
+                reported[id] = result.outcome.empty() ? "unknown" : result.outcome;
+                if (result.outcome == "ran") {
                     break;
                 }
                 pause(Millis(150));
@@ -96,16 +96,16 @@
     });
     runConcurrently(tasks);
     checkExecutions(fleet, reported);
-    int fresh = 0;
-    // After the kill, new work with tickets of live nodes is refused only until the fleet has detected the dead node.
+    int attempts = 0;
+    // New work with tickets of live nodes is refused only until the other nodes have detected that the node is down.
     CHECK(eventually(
-        [&] { return fleet.book(0, "fresh-" + std::to_string(++fresh), fleet.ticket(0)).outcome == "ran"; }));
+        [&] { return fleet.book(0, "fresh-" + std::to_string(++attempts), fleet.ticket(0)).outcome == "ran"; }));
 }
 
 TEST_CASE("booking, server killed while it runs, is reported unknown and never sent to another server")
 {
-    // The server dies after it received the booking, so it is unknown whether the booking ran. It must not be reported
-    // as not run, and no second server may receive it.
+    // The server is killed after it received the booking, so it is unknown whether the booking ran. The booking must
+    // not be reported as "not-run", and no second server may receive it.
     FleetOptions options;
     options.workMs = 300;
     Fleet fleet(options);
@@ -128,9 +128,9 @@
 
 TEST_CASE("booking, home suspended past the deadline and resumed, runs at most once")
 {
-    // A VM is suspended with a booking in its socket buffer. The caller times out and resends through other nodes; when
-    // the VM resumes, it finds the old request. Only the ticket's owner may run it, so there must be no second
-    // execution.
+    // A VM is suspended with a booking in its socket buffer. The caller times out and resends through other nodes; then
+    // the VM resumes and reads the old request. There must be no second execution, because only the ticket's owner may
+    // run it.
     Fleet fleet;
     const std::string suspendedTicket = fleet.ticket(1);
     const std::string liveTicket = fleet.ticket(0);
@@ -141,9 +141,9 @@
     for (int i = 0; i < 6; ++i) {
         tasks.emplace_back([&, i] {
             const std::string id = i % 2 == 0 ? "frozen-owner" : "frozen-home";
-            const CallResult answer = fleet.book(i % 2 == 0 ? 2 : 0, id, i % 2 == 0 ? suspendedTicket : liveTicket);
-            if (!answer.outcome.empty()) {
-                reported[id] = answer.outcome;
+            const CallResult result = fleet.book(i % 2 == 0 ? 2 : 0, id, i % 2 == 0 ? suspendedTicket : liveTicket);
+            if (!result.outcome.empty()) {
+                reported[id] = result.outcome;
             }
         });
     }
@@ -170,8 +170,8 @@
     Fleet fleet(options);
     const std::string ticket = fleet.ticket(1);
     fleet.setProxyFault(1, {{"fromTarget", {{"hold", true}}}});
-    const CallResult cut = fleet.book(0, "one-way", ticket);
-    CHECK(cut.outcome == "unknown");
+    const CallResult first = fleet.book(0, "one-way", ticket);
+    CHECK(first.outcome == "unknown");
     fleet.setProxyFault(1, {{"fromTarget", {{"hold", false}}}});
     CallResult again;
     CHECK(eventually(
@@ -183,24 +183,24 @@
     CHECK(fleet.executions()["one-way"] == 1);
 }
 
-TEST_CASE("calendar, responses truncated or reset, are never returned as complete")
+TEST_CASE("calendar, responses truncated or reset, are not returned as complete")
 {
     // A gray server closes connections in the middle of responses. Guards against a truncated response that is returned
-    // as complete: half a calendar would show a full course as free.
+    // as complete: a caller that sees half of a calendar could book a course that is full.
     Fleet fleet;
     fleet.setServerMode("s0", {{"mode", "cut"}});
     fleet.setServerMode("s3", {{"mode", "reset"}});
     int complete = 0;
     for (int i = 0; i < 40; ++i) {
         const std::string id = "cut-" + std::to_string(i);
-        const CallResult answer = fleet.read(0, id);
-        if (answer.status == 200) {
-            const nlohmann::json body = nlohmann::json::parse(answer.body, nullptr, false);
+        const CallResult result = fleet.read(0, id);
+        if (result.status == 200) {
+            const nlohmann::json body = nlohmann::json::parse(result.body, nullptr, false);
             CHECK(body.is_object());
             CHECK(body.value("request", "") == id);
             ++complete;
         } else {
-            CHECK(answer.outcome != "ran");
+            CHECK(result.outcome != "ran");
         }
     }
     CHECK(complete >= 35);
@@ -208,8 +208,8 @@
 
 TEST_CASE("booking, object API unreachable, tickets work and own keys are not reported not-run")
 {
-    // The object API is unreachable for hours. Bookings with tickets continue. A caller's own key can't be looked up,
-    // so whether an earlier attempt ran is unknown and must not be reported as "not-run".
+    // Bookings with tickets continue during an outage of the object API. A caller's own key can't be looked up then, so
+    // it is unknown whether an earlier attempt ran, and the booking must not be reported as "not-run".
     Fleet fleet;
     fleet.setApiFault({{"outage", true}});
     CHECK(fleet.book(0, "away-ticket", fleet.ticket(0)).outcome == "ran");
--- a/tests/integration/PairsTest.cpp
+++ b/tests/integration/PairsTest.cpp
@@ -25,10 +25,10 @@
             const std::string id = name + "-" + std::to_string(i);
             const std::string key = i % 3 == 2 ? "own-" + id : fleet.ticket(i % 3);
             for (int attempt = 0; attempt < attempts && !key.empty(); ++attempt) {
-                const CallResult answer = fleet.book((i + attempt) % 3, id, key);
+                const CallResult result = fleet.book((i + attempt) % 3, id, key);
                 // Without a response the outcome is unknown.
-                reported[id] = answer.outcome.empty() ? "unknown" : answer.outcome;
-                if (answer.outcome == "ran") {
+                reported[id] = result.outcome.empty() ? "unknown" : result.outcome;
+                if (result.outcome == "ran") {
                     break;
                 }
                 pause(Millis(200));
@@ -55,8 +55,8 @@
 
 TEST_CASE("bookings, object API unreachable and a node killed, none runs twice")
 {
-    // The object API is unreachable, and shortly after a VM is lost with bookings in flight. Callers resend through the
-    // other nodes; there is no store to look keys up in and no owner left for some tickets.
+    // The object API becomes unreachable, and shortly afterwards a VM is lost with bookings in flight. Callers resend
+    // through the other nodes. Keys can't be looked up, and some tickets have no owner any more.
     FleetOptions options;
     options.workMs = 40;
     Fleet fleet(options);
@@ -88,7 +88,8 @@
 
 TEST_CASE("bookings, a one-way network fault and a graceful stop, none runs twice")
 {
-    // Messages from node 0 don't reach the others while node 2 stops gracefully and hands over its claims.
+    // Messages from node 0 don't reach the nodes that connected to it, while node 2 stops gracefully and hands over its
+    // claims.
     FleetOptions options;
     options.workMs = 40;
     options.proxies = true;
@@ -104,10 +105,10 @@
     });
 }
 
-TEST_CASE("server, responses to its home lost, bookings there are unknown and run once and readers go elsewhere")
+TEST_CASE("server, responses to its home lost, bookings are unknown and run once and reads use other servers")
 {
-    // A home reaches its server, but the server's responses don't come back, while its announcements do. The bookings
-    // sent to it have run, so they must not be reported as "not-run", and readers must not wait for it.
+    // Requests reach the server, but its responses are lost; its announcements still arrive. The bookings sent to it
+    // have run, so they must not be reported as "not-run", and readers must not wait for this server.
     FleetOptions options;
     options.proxyServer = true;
     Fleet fleet(options);
@@ -115,11 +116,11 @@
     int unknown = 0;
     for (int i = 0; i < 4; ++i) {
         const std::string id = "cut-server-" + std::to_string(i);
-        const CallResult answer = fleet.book(0, id, fleet.ticket(0));
+        const CallResult result = fleet.book(0, id, fleet.ticket(0));
         const int count = fleet.executions()[id];
         CHECK(count == 1);
-        CHECK(answer.outcome != "not-run");
-        unknown += answer.outcome == "unknown" ? 1 : 0;
+        CHECK(result.outcome != "not-run");
+        unknown += result.outcome == "unknown" ? 1 : 0;
     }
     CHECK(unknown >= 1);
     for (int i = 0; i < 20; ++i) {
--- a/tests/integration/UpgradeTest.cpp
+++ b/tests/integration/UpgradeTest.cpp
@@ -6,15 +6,15 @@
 using namespace waxwing;
 using namespace waxwing::testing;
 
-// Nodes are replaced one by one, by a later build if WAXWING_OTHER_BUILD names an earlier one (tools/check-mixed), and
-// otherwise by the same build. Both builds read what the other one stored and sent.
+// Nodes are replaced one by one. If WAXWING_OTHER_BUILD names an earlier build (tools/check-mixed), this build replaces
+// it, and each build must read the stored data and the messages of the other. Otherwise, both are this build.
 
 namespace {
 
 constexpr int nodeCount = 3;
 constexpr int serverCount = 6;
 
-/** A fleet whose claims and tickets outlive the processes that made them. */
+/** A fleet whose nodes are replaced one by one. */
 class FleetUpgrade
 {
 protected:
@@ -35,7 +35,7 @@
         fleet_.node(node).signal(SIGTERM);
         REQUIRE(fleet_.node(node).waitForExit() == 0);
         fleet_.startNode(node);
-        // Its servers moved to the homes of the other nodes when it stopped, and stay there.
+        // The servers of this node moved to other homes when it stopped, and don't move back.
         const auto allServe = [this, node] {
             return fleet_.read(node, "started").status == 200 && fleet_.inService() == serverCount;
         };
@@ -59,15 +59,15 @@
         return out;
     }
 
-    /** A booking and a look-up at every node; each is served and runs once. */
+    /** Sends a booking and a read to every node, and checks that each is served and runs once. */
     void serveAt(const std::string &prefix)
     {
         for (int node = 0; node < nodeCount; ++node) {
             for (const char *path : {"/seats/1", "/dates/1"}) {
                 const std::string id = prefix + std::to_string(node) + path;
-                const auto answer = mesh_.send(node, id, path);
-                REQUIRE(answer);
-                CHECK(answer->status == 200);
+                const auto response = mesh_.send(node, id, path);
+                REQUIRE(response);
+                CHECK(response->status == 200);
                 CHECK(mesh_.executions()[id] == 1);
             }
         }
@@ -78,8 +78,8 @@
 
 } // namespace
 
-// Guards against a release that can't read the claims, tickets, keys or intents of the one before it: a caller sends
-// its booking again after the upgrade, and it would run a second time or be told "unknown".
+// Guards against a release that can't read the claims, tickets, keys or intents of the previous one. A booking that is
+// resent after the upgrade would then run a second time or be reported as "unknown".
 TEST_CASE_FIXTURE(FleetUpgrade, "upgrade, every node of a fleet replaced, keeps claims and tickets and intents")
 {
     std::vector<std::string> used;
@@ -110,8 +110,8 @@
     CHECK(eventually([&] { return fleet_.view(nodeCount - 1, "/v1/config") == configBefore; }));
 }
 
-// Guards against a release that can't read the registry entries or the configuration that an earlier one stored, or
-// that does not understand its messages while nodes of both run.
+// Guards against a release that can't read the registry entries or the configuration that the previous one stored, or
+// its messages while nodes of both releases run.
 TEST_CASE_FIXTURE(MeshUpgrade, "upgrade, nodes of a mesh replaced by stops and a kill, serve at every step")
 {
     serveAt("before-");
