--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** Throws if the fleet can't be set up, because that is not a test result. */
+/** Throws if @p done is false: a fleet that can't be set up is an error, not a failed check of a test. */
 void require(bool done, const std::string &what)
 {
     if (!done) {
@@ -53,13 +53,14 @@
 
 json post(const Endpoint &endpoint, const std::string &target, const json &body)
 {
-    const auto answer = loop().client->exchange(endpoint, HttpRequest{"POST", target, {}, body.dump()}, controlTimeout);
-    return answer ? json::parse(answer->body, nullptr, false) : json();
+    const auto response =
+        loop().client->exchange(endpoint, HttpRequest{"POST", target, {}, body.dump()}, controlTimeout);
+    return response ? json::parse(response->body, nullptr, false) : json();
 }
 
 } // namespace
 
-/** Uses ports below the system's ephemeral range, so that no outgoing connection takes the port in the meantime. */
+/** Uses ports below the system's ephemeral range, so that no outgoing connection can occupy the port before its use. */
 Endpoint freeEndpoint()
 {
     static unsigned next = 10000 + static_cast<unsigned>(getpid() * 37) % 15000;
@@ -208,8 +209,8 @@
     for (int i = 0; i < options_.nodes; ++i) {
         startNode(i);
     }
-    // A server that finds no listener yet would announce itself to the next home, but tests depend on the home of each
-    // server.
+    // The servers start once all nodes listen: a server that can't reach its home announces itself to another one, but
+    // tests depend on the home of each server.
     for (int i = 0; i < options_.nodes; ++i) {
         require(eventually([this, i] { return view(i, "/v1/status").is_object(); }), "every node responds");
     }
@@ -312,8 +313,8 @@
 
 void Fleet::setServerMode(const std::string &name, const json &mode)
 {
-    const json answer = post(Endpoint{"127.0.0.1", server(name).waitForPrintedNumber("port")}, "/_mode", mode);
-    require(answer.is_object(), "server accepts the mode");
+    const json reply = post(Endpoint{"127.0.0.1", server(name).waitForPrintedNumber("port")}, "/_mode", mode);
+    require(reply.is_object(), "server accepts the mode");
 }
 
 void Fleet::setApiFault(const json &fault)
@@ -334,14 +335,14 @@
 
 json Fleet::view(int node, const std::string &target)
 {
-    const auto answer = loop().client->exchange(operators(node), HttpRequest{"GET", target, {}, {}}, controlTimeout);
-    return answer ? json::parse(answer->body, nullptr, false) : json();
+    const auto response = loop().client->exchange(operators(node), HttpRequest{"GET", target, {}, {}}, controlTimeout);
+    return response ? json::parse(response->body, nullptr, false) : json();
 }
 
 json Fleet::apiStats()
 {
-    const auto answer = loop().client->exchange(api_, HttpRequest{"GET", "/_stats", {}, {}}, controlTimeout);
-    return answer ? json::parse(answer->body, nullptr, false) : json();
+    const auto response = loop().client->exchange(api_, HttpRequest{"GET", "/_stats", {}, {}}, controlTimeout);
+    return response ? json::parse(response->body, nullptr, false) : json();
 }
 
 bool Fleet::writeObject(const std::string &kind, const std::string &name, std::uint64_t version, const json &value)
@@ -349,24 +350,24 @@
     return ObjectApi(*loop().client, api_).update(kind, name, version, value.dump()).kind == UpdateResult::Kind::Stored;
 }
 
-CallResult Fleet::send(int node, const HttpRequest &request, Millis allowed)
+CallResult Fleet::send(int node, const HttpRequest &request, Millis timeout)
 {
     HttpRequest addressed = request;
     if (headerValue(request.headers, "Host").empty()) {
         addressed.headers.emplace_back("Host", options_.services.front());
     }
-    const auto got = loop().client->exchange(callers(node), addressed, allowed);
-    CallResult answer;
-    if (!got) {
-        answer.reason = exchangeFailureName(got.error().failure);
-        return answer;
+    const auto response = loop().client->exchange(callers(node), addressed, timeout);
+    CallResult result;
+    if (!response) {
+        result.reason = exchangeFailureName(response.error().failure);
+        return result;
     }
-    answer.status = got->status;
-    answer.outcome = std::string(headerValue(got->headers, "Waxwing-Outcome"));
-    answer.reason = std::string(headerValue(got->headers, "Waxwing-Reason"));
-    answer.body = got->body;
-    answer.headers = got->headers;
-    return answer;
+    result.status = response->status;
+    result.outcome = std::string(headerValue(response->headers, "Waxwing-Outcome"));
+    result.reason = std::string(headerValue(response->headers, "Waxwing-Reason"));
+    result.body = response->body;
+    result.headers = response->headers;
+    return result;
 }
 
 CallResult Fleet::read(int node, const std::string &id)
@@ -389,12 +390,12 @@
     return body.is_object() ? body.value("ticket", "") : "";
 }
 
-int Fleet::ctl(const std::vector<std::string> &words, std::string *output, int node)
+int Fleet::ctl(const std::vector<std::string> &arguments, std::string *output, int node)
 {
-    std::vector<std::string> arguments = words;
-    arguments.insert(arguments.end(), {"--api", api_.text(), "--node", operators(node).text()});
+    std::vector<std::string> allArguments = arguments;
+    allArguments.insert(allArguments.end(), {"--api", api_.text(), "--node", operators(node).text()});
     static int run = 0;
-    Process process("waxwingctl", arguments, directory_ + "/ctl" + std::to_string(++run) + ".log");
+    Process process("waxwingctl", allArguments, directory_ + "/ctl" + std::to_string(++run) + ".log");
     const int code = process.waitForExit();
     if (output != nullptr) {
         *output = process.output();
@@ -469,11 +470,11 @@
         const json nodes = view(i, "/v1/nodes");
         int homes = 0;
         for (const json &node : nodes.is_array() ? nodes : json::array()) {
-            int here = 0;
+            int servers = 0;
             for (const json &count : node["services"]) {
-                here += count.get<int>();
+                servers += count.get<int>();
             }
-            homes += node.value("state", "") == "up" && here == options_.serversPerNode ? 1 : 0;
+            homes += node.value("state", "") == "up" && servers == options_.serversPerNode ? 1 : 0;
         }
         if (homes != options_.nodes) {
             return false;
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -20,13 +20,14 @@
 /** Installs the fiber scheduler of the test thread. Call once. */
 void setUpLoop();
 void pause(Millis length);
-/** Polls until @p done returns true or @p within has passed; returns whether it was done. */
+/** Polls until @p done returns true or @p within has passed. Returns false if the time ran out. */
 bool eventually(const std::function<bool()> &done, Millis within = std::chrono::seconds(10));
-/** Runs the tasks as fibers and returns when all have finished. */
+/** Runs each task in a fiber of its own and returns when all have finished. */
 void runConcurrently(const std::vector<std::function<void()>> &tasks);
 
-/** Returns the test thread's event loop and HTTP client. @pre setUpLoop() was called. */
+/** Returns the event loop of the test thread. @pre setUpLoop() was called. */
 boost::asio::io_context &loopContext();
+/** Returns the HTTP client of the test thread. @pre setUpLoop() was called. */
 HttpClient &loopClient();
 /** Returns a loopback address on which nothing listens. */
 Endpoint freeEndpoint();
@@ -35,14 +36,14 @@
 class Process
 {
 public:
-    /** Starts @p program from the build directory with its output in @p log. */
+    /** Starts @p program, an absolute path or one relative to the build directory, with its output in @p log. */
     Process(const std::string &program, const std::vector<std::string> &arguments, const std::string &log);
     ~Process();
     Process(const Process &) = delete;
     Process &operator=(const Process &) = delete;
     void signal(int number);
     void kill();
-    /** Waits for the process to exit; returns the exit code, or -1 if it did not exit in time. */
+    /** Waits for the process to exit. Returns its exit code, or -1 if it was still running after @p within. */
     int waitForExit(Millis within = std::chrono::seconds(25));
     bool running();
     /** Waits until the process has printed "name=number" and returns the number. */
@@ -55,16 +56,16 @@
 };
 
 /**
- * Returns the program that runs as a node: from this build, or from the build directory that WAXWING_OTHER_BUILD names.
- * If that variable is set, every second node runs the other build; in an upgrade, the first process of each node does,
- * and its later processes run this build.
+ * Returns the program of a node: from this build, or from the build directory that WAXWING_OTHER_BUILD names. If that
+ * variable is set, every second node runs the other build. With @p upgrade, the first process of each node runs the
+ * other build, and its later processes run this build.
  */
 std::string nodeProgram(int node, bool upgrade, int earlierStarts);
 
 /** Capacity that tests reserve for the tasks passed to runConcurrently(). */
 constexpr std::size_t maxTasks = 128;
 
-/** Outcome of a request as its caller sees it; status 0 if no response arrived. */
+/** Result of a request as its caller sees it; the status is 0 if no response arrived. */
 struct CallResult {
     unsigned status = 0;
     std::string outcome;
@@ -84,17 +85,17 @@
     std::string ramp = "200ms";
     /** Each node's peer port is reached through a fault proxy. */
     bool proxies = false;
-    /** Servers are assigned to these in turn; requests go to the first unless they name another. */
+    /** Servers are assigned to these services in turn; requests are for the first unless they name another. */
     std::vector<std::string> services = {"course-desk"};
     int regions = 1;
     /** Server s0 is reached through a fault proxy. */
     bool proxyServer = false;
-    /** Nodes start with the other build; see nodeProgram(). */
+    /** The first process of each node runs the other build; see nodeProgram(). */
     bool upgrade = false;
 };
 
 /**
- * A fleet of real processes on loopback: object API stand-in, nodes, backend servers and, as an option, fault proxies.
+ * A fleet of real processes on loopback: object API stand-in, nodes, backend servers and optional fault proxies.
  */
 class Fleet
 {
@@ -118,20 +119,20 @@
     void setProxyFault(int node, const nlohmann::json &fault);
     nlohmann::json view(int node, const std::string &target);
     nlohmann::json apiStats();
-    /** Writes an object without the validation that waxwingctl does. */
+    /** Writes an object directly, without the validation of waxwingctl. Returns true if it was stored. */
     bool writeObject(const std::string &kind, const std::string &name, std::uint64_t version,
                      const nlohmann::json &value);
 
-    CallResult send(int node, const HttpRequest &request, Millis allowed = std::chrono::seconds(8));
+    CallResult send(int node, const HttpRequest &request, Millis timeout = std::chrono::seconds(8));
     CallResult read(int node, const std::string &id);
     CallResult book(int node, const std::string &id, const std::string &key, const std::string &body = "seat");
     std::string ticket(int node);
-    /** Runs waxwingctl with these arguments; returns its exit code and puts its output into @p output. */
+    /** Runs waxwingctl against the object API and @p node. Returns its exit code and stores its output in @p output. */
     int ctl(const std::vector<std::string> &arguments, std::string *output = nullptr, int node = 0);
-    /** Writes intents for the services and waits until they are in force. */
+    /** Writes intents for all services and waits until they are in force. */
     void applyIntents();
     std::string intentsFile(const std::string &responseTime = "300ms");
-    /** Returns the number of executions by X-Request-Id, from the servers' ledgers. */
+    /** Returns the number of executions of each X-Request-Id, from the servers' ledgers. */
     std::map<std::string, int> executions() const;
     /** Returns the number of servers in service over all nodes that respond. */
     int inService();
--- a/tests/support/ManualClock.h
+++ b/tests/support/ManualClock.h
@@ -4,7 +4,7 @@
 
 namespace waxwing::testing {
 
-/** A clock that changes only by advance(). */
+/** A clock that moves only when advance() is called. */
 class ManualClock final : public Clock
 {
 public:
