--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,10 +1,10 @@
 /**
  * Measures the control overhead of one node as the fleet grows: real processes on loopback, no callers. For each size
- * it prints processor time, memory, link bytes and object API calls, and how long changes take to be in force
+ * it prints processor time, memory, link bytes and object API calls, and the time until changes are in force
  * everywhere.
  *
  * Run: bench-fleet [NODES or NODESxSERVERS ...]
- *      bench-fleet load NODES RATE...    requests a second, directly and through the fleet, side by side
+ *      bench-fleet load NODES RATE...    requests per second, directly and through the fleet, side by side
  *      bench-fleet ticket NODES RATE...  the same with a ticket for each write
  *      bench-fleet kill                  share of new work that is not served after one node of three is killed
  */
@@ -21,7 +21,7 @@
 using namespace waxwing::testing;
 using nlohmann::json;
 
-constexpr Millis observed{10000};
+constexpr Millis observationTime{10000};
 constexpr int changes = 20;
 
 struct Totals {
@@ -93,8 +93,8 @@
 }
 
 /**
- * Measures new bookings while a node is killed. Each has a ticket of the node it goes to; a caller that can't connect
- * uses another node.
+ * Measures how many new bookings are not served after a node is killed. Each booking has a ticket of the node that it
+ * is sent to; a caller that gets no ticket from its node uses another node.
  */
 void measureKill()
 {
@@ -121,12 +121,12 @@
                     ticket = fleet.ticket(node);
                 }
                 const std::string id = std::to_string(client) + "-" + std::to_string(i);
-                const CallResult answer = fleet.book(node, id, ticket);
+                const CallResult result = fleet.book(node, id, ticket);
                 auto &counts = buckets[began / bucket];
                 ++counts.first;
-                counts.second += answer.outcome == "ran" ? 0 : 1;
-                if (answer.outcome != "ran") {
-                    ++reasons[answer.outcome + "/" + answer.reason];
+                counts.second += result.outcome == "ran" ? 0 : 1;
+                if (result.outcome != "ran") {
+                    ++reasons[result.outcome + "/" + result.reason];
                 }
                 pause(gap);
             }
@@ -157,16 +157,16 @@
     Fleet fleet(options);
     pause(Millis(3000));
     const Totals before = totals(fleet);
-    pause(observed);
+    pause(observationTime);
     const Totals after = totals(fleet);
-    const double seconds = std::chrono::duration<double>(observed).count();
-    const double each = 1.0 / nodes;
+    const double seconds = std::chrono::duration<double>(observationTime).count();
+    const double perNode = 1.0 / nodes;
     std::printf(
         "idle %3d nodes x %d servers  processor %.4f%% of a core  memory %.1f MB  links out %.0f in %.0f B/s a node  "
         "object API %.2f calls/s in all\n",
-        nodes, serversPerNode, 100.0 * (after.processor - before.processor) / seconds * each, after.memory * each / 1e6,
-        (after.sent - before.sent) / seconds * each, (after.received - before.received) / seconds * each,
-        (after.calls - before.calls) / seconds);
+        nodes, serversPerNode, 100.0 * (after.processor - before.processor) / seconds * perNode,
+        after.memory * perNode / 1e6, (after.sent - before.sent) / seconds * perNode,
+        (after.received - before.received) / seconds * perNode, (after.calls - before.calls) / seconds);
     std::vector<double> times;
     const Totals beforeChanges = totals(fleet);
     for (int i = 0; i < changes; ++i) {
@@ -185,7 +185,7 @@
             "     %3d nodes  %zu of %d changes in force everywhere: median %.0f ms  worst %.0f ms  bytes a change and "
             "node: out %.0f\n",
             nodes, times.size(), changes, times[times.size() / 2], times.back(),
-            (afterChanges.sent - beforeChanges.sent) * each / changes);
+            (afterChanges.sent - beforeChanges.sent) * perNode / changes);
     }
     std::fflush(stdout);
 }
--- a/tools/demo.cpp
+++ b/tools/demo.cpp
@@ -1,7 +1,7 @@
 /**
  * Runs the main scenario on loopback: three nodes in different zones, six backend servers of two services, and reads
- * and writes to both services. One server is killed and one is suspended meanwhile. Prints what happened and why. Exits
- * with 1 if a guarantee was violated.
+ * and writes to both services. Meanwhile, one server is killed and one is suspended. Prints the outcomes and the events
+ * that explain them. Exits with 1 if a guarantee was violated.
  */
 #include "src/fiber/FiberLoop.h"
 #include "tests/support/Fleet.h"
@@ -30,10 +30,10 @@
 void readOnce(Fleet &fleet, Results &results, int node, const std::string &service)
 {
     const std::string id = "read-" + std::to_string(++results.number);
-    const CallResult answer =
+    const CallResult result =
         fleet.send(node, HttpRequest{"GET", "/sessions/" + id, {{"Host", service}, {"X-Request-Id", id}}, {}});
-    ++results.outcomes[service + " reads"][answer.outcome.empty() ? "no answer" : answer.outcome];
-    const bool complete = answer.status != 200 || answer.body.find("\"" + id + "\"") != std::string::npos;
+    ++results.outcomes[service + " reads"][result.outcome.empty() ? "no response" : result.outcome];
+    const bool complete = result.status != 200 || result.body.find("\"" + id + "\"") != std::string::npos;
     results.wrongResponses += complete ? 0 : 1;
 }
 
@@ -51,7 +51,7 @@
             pause(Millis(100));
         }
     }
-    ++results.outcomes[service + " writes"][outcome.empty() ? "no answer" : outcome];
+    ++results.outcomes[service + " writes"][outcome.empty() ? "no response" : outcome];
     results.booked[id] = outcome;
 }
 
