--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -6,6 +6,7 @@
 
 #include <boost/asio/ip/tcp.hpp>
 
+#include <algorithm>
 #include <csignal>
 #include <cstdlib>
 #include <filesystem>
@@ -123,11 +124,16 @@
     }
 }
 
-std::string nodeProgram(int node, bool upgrade, int earlierStarts)
+std::string otherProgram(const std::string &program)
 {
     const char *const otherBuild = std::getenv("WAXWING_OTHER_BUILD");
+    return otherBuild != nullptr ? std::string(otherBuild) + "/" + program : program;
+}
+
+std::string nodeProgram(int node, bool upgrade, int earlierStarts)
+{
     const bool other = upgrade ? earlierStarts == 0 : node % 2 != 0;
-    return otherBuild != nullptr && other ? std::string(otherBuild) + "/waxwingd" : "waxwingd";
+    return other ? otherProgram("waxwingd") : "waxwingd";
 }
 
 Process::Process(const std::string &program, const std::vector<std::string> &arguments, const std::string &log)
@@ -395,7 +401,10 @@
     std::vector<std::string> allArguments = arguments;
     allArguments.insert(allArguments.end(), {"--api", api_.text(), "--node", operators(node).text()});
     static int run = 0;
-    Process process("waxwingctl", allArguments, directory_ + "/ctl" + std::to_string(++run) + ".log");
+    const bool noneReplaced =
+        std::all_of(starts_.begin(), starts_.end(), [](const auto &start) { return start.second == 1; });
+    const std::string program = options_.upgrade && noneReplaced ? otherProgram("waxwingctl") : "waxwingctl";
+    Process process(program, allArguments, directory_ + "/ctl" + std::to_string(++run) + ".log");
     const int code = process.waitForExit();
     if (output != nullptr) {
         *output = process.output();
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -55,6 +55,9 @@
     boost::process::child child_;
 };
 
+/** Returns @p program of the build that WAXWING_OTHER_BUILD names, or of this build if it is not set. */
+std::string otherProgram(const std::string &program);
+
 /**
  * Returns the program of a node: from this build, or from the build directory that WAXWING_OTHER_BUILD names. If that
  * variable is set, every second node runs the other build. With @p upgrade, the first process of each node runs the
@@ -90,7 +93,7 @@
     int regions = 1;
     /** Server s0 is reached through a fault proxy. */
     bool proxyServer = false;
-    /** The first process of each node runs the other build; see nodeProgram(). */
+    /** The first process of each node runs the other build, and so does waxwingctl until a node is replaced. */
     bool upgrade = false;
 };
 
