--- a/include/floor/HomeFloor.h
+++ b/include/floor/HomeFloor.h
@@ -63,7 +63,10 @@
      */
     void setCapacity(std::uint32_t announced, std::uint32_t inService, SteadyTime now);
 
-    /** Returns true if the floor still holds after one more ejection here. */
+    /**
+     * Returns true if the floor still holds after one more ejection here. False while the table has no pledge of this
+     * home.
+     */
     bool mayEject() const;
     /** Records that an ejection was not allowed: other homes' pledges may have changed since the table was read. */
     void noteEjectionBlocked();
@@ -72,9 +75,12 @@
      * table.
      */
     bool needsRefresh(const std::vector<NodeRef> &homes) const;
-    /** Sets the table as just read from the store. @pre no proposal is in progress. */
+    /**
+     * Sets the table as just read from the store, unless the known version is the same or newer. @pre no proposal is in
+     * progress.
+     */
     void updateTable(PledgeTable current);
-    /** Returns how many servers this home must keep in service now, for reports. */
+    /** Returns how many servers this home must keep in service now. */
     std::uint32_t mustKeep() const;
     std::uint32_t pledge() const;
     /** Returns the table as last read or written. */
@@ -89,8 +95,9 @@
     /** Records that the last proposal took effect and that the table now has @p version. */
     void accepted(std::uint64_t version);
     /**
-     * Records that the last proposal did not take effect because the table has another version, @p current. Without @p
-     * current the proposal is dropped, as after a lost reply.
+     * Drops the last proposal. @p current: the table in the store, if the write failed because of its version; used if
+     * it is newer. Without @p current, as after a lost reply, the write may have taken effect: the assumed pledge stays
+     * as raised by proposal().
      */
     void rejected(std::optional<PledgeTable> current);
 
--- a/include/health/GrayFilter.h
+++ b/include/health/GrayFilter.h
@@ -6,7 +6,7 @@
 
 namespace waxwing {
 
-/** Prior knowledge about gray servers. Each gray phase then shows its own failure rate and length. */
+/** Initial assumptions about gray servers. Failure rate and length are estimated anew in each gray phase. */
 struct GrayTuning {
     /** Share of requests that a healthy server fails: one in a hundred, as users report. */
     double healthyFailureRate = 0.012;
@@ -52,7 +52,7 @@
     void reset(SteadyTime now);
 
 private:
-    /** A period in which the server was likelier gray than not. */
+    /** A gray phase: from a failure that raises the probability to 0.5 or more, until it is below 0.1. */
     struct Phase {
         SteadyTime since;
         SteadyTime lastFailure;
--- a/include/health/ServerHealth.h
+++ b/include/health/ServerHealth.h
@@ -25,7 +25,10 @@
     Millis ramp = std::chrono::seconds(10);
     Millis firstEjection = std::chrono::seconds(5);
     Millis maxEjection = std::chrono::minutes(5);
-    /** After this long in service an earlier ejection no longer lengthens the next one. */
+    /**
+     * After this long in service earlier ejections no longer lengthen the next one or raise the successes needed to
+     * return.
+     */
     Millis resetRelapsesAfter = std::chrono::minutes(10);
     int successesToReturn = 5;
     int maxSuccessesToReturn = 40;
@@ -46,7 +49,10 @@
 public:
     ServerHealth(std::unique_ptr<Detector> detector, HealthTuning tuning, SteadyTime now);
 
-    /** Adds evidence. May change the phase of a server on probation. */
+    /**
+     * Adds evidence. On probation, any evidence but Good ejects the server again, and enough Good evidence starts a
+     * ramp. Ignored while the server is ejected; in the ramp of a cold start, late responses are ignored.
+     */
     void add(Evidence evidence, double peerBadShare, SteadyTime now);
     /** Advances the phase with time. Call before reading it. */
     void tick(SteadyTime now);
--- a/include/home/ServiceHome.h
+++ b/include/home/ServiceHome.h
@@ -68,8 +68,8 @@
     int slowClassFactor = 4;
     Millis activeClassWindow = std::chrono::seconds(10);
     /**
-     * No server is ejected while the median share of bad results among the other servers is above this: then the whole
-     * service is slow.
+     * No server is ejected while the median share of bad results among the other healthy servers here is above this:
+     * then the whole service is slow. If none of them has results, the share at other homes counts.
      */
     double slowServiceShare = 0.05;
 };
@@ -97,7 +97,10 @@
     ServiceHome(std::string service, NodeRef self, HomeTuning tuning, DetectorFactory detectors,
                 HomeFloor::InServiceOf inServiceOf);
 
-    /** Replaces the intents. @p intent is copied. */
+    /**
+     * Replaces the intents. @p intent is copied. The floor changes at once, the ejection policy only for servers that
+     * are announced for the first time afterwards.
+     */
     void setIntent(const ServiceIntent &intent);
     /** Applies an announcement. Returns true if it is from a new process of the server. */
     bool announce(const Announcement &announcement, SteadyTime now);
@@ -147,7 +150,10 @@
     /** Returns all known servers, including absent and ejected ones. */
     std::vector<ServerView> servers() const;
     const Announcement *find(const std::string &server) const;
-    /** Returns the recent share of bad results over all servers except @p except. */
+    /**
+     * Returns the recent share of bad results of all servers except @p except, including those at other homes. A few
+     * good results are added, so that few results do not make a high share.
+     */
     double badShareExcluding(const std::string &except) const;
     bool hasNoServers() const;
 
--- a/include/home/SlotQueue.h
+++ b/include/home/SlotQueue.h
@@ -40,7 +40,7 @@
     SteadyTime deadline;
     /** Longest time in the queue of this home. After it, another home is expected to be better. */
     Millis queueTimeout{0};
-    /** The sender knows that the server is likely gray and has no better home. */
+    /** The sender has no better home and knows that the server here is likely gray. */
     bool acceptsGray = false;
 };
 
@@ -110,8 +110,8 @@
     /** Work time assumed until the first result. */
     Millis defaultWorkTime{200};
     /**
-     * Time constant with which the occupancy of each rank decays, and the upper bound on it that keeps expected waits
-     * finite.
+     * Time constant with which the slot time used by each rank decays, and upper bound on the share of the slots that
+     * more urgent ranks use. The bound keeps expected waits finite.
      */
     Millis occupancyTimeConstant{2000};
     double maxOccupancy = 0.9;
@@ -218,8 +218,8 @@
      */
     Duration waitBehind(std::ptrdiff_t ahead, int rank, SteadyTime now) const;
     /**
-     * Returns true if the request is already late and more urgent requests leave no slot for it before its queue
-     * timeout. Its caller is refused at once instead of at the timeout.
+     * Returns true if the request will miss its objective and more urgent requests leave no slot for it before its
+     * queue timeout. Its caller is refused at once instead of at the timeout.
      */
     bool willTimeOut(const Waiting &one, SteadyTime now) const;
     /** Returns the recent share of the slots that ranks more urgent than @p rank used. */
@@ -228,8 +228,8 @@
     double slowdown() const;
     double shedRate(SteadyTime now) const;
     /**
-     * Returns the rank in which the request is served: its priority, or a rank behind all priorities if it is already
-     * late.
+     * Returns the rank in which the request is served: its priority, or a rank behind all priorities if a response is
+     * expected after its objective.
      */
     int rankOf(const SlotRequest &request, SteadyTime now) const;
 
@@ -246,8 +246,8 @@
     SteadyTime lastProbe_;
     Duration probeInterval_;
     /**
-     * By rank. The queue length does not include more urgent requests that arrive later and start first. Without this
-     * count, less urgent requests would be admitted and would time out in the queue.
+     * By rank. Accounts for more urgent requests that arrive later and start first, which the queue length does not
+     * include. Without it, less urgent requests would be admitted and would time out in the queue.
      */
     std::map<int, Occupancy> occupancy_;
 };
--- a/include/limit/FairQueue.h
+++ b/include/limit/FairQueue.h
@@ -45,7 +45,7 @@
         std::string name;
         std::deque<QueuedRequest> waiting;
     };
-    /** Customers in round-robin order. */
+    /** Requests of one class. @c turns: the customers with waiting requests in round-robin order. */
     struct ClassQueue {
         std::deque<Customer> turns;
         std::size_t size = 0;
--- a/include/limit/FleetRetryBudget.h
+++ b/include/limit/FleetRetryBudget.h
@@ -68,7 +68,7 @@
      * called service.
      */
     void spend(double tokens, SteadyTime now);
-    /** Returns tokens that were taken for sends that did not happen. */
+    /** Gives back tokens for sends that did not happen, at most those spent in the current step of the window. */
     void refund(double tokens, SteadyTime now);
     /**
      * Transfers up to @p tokens to another node, at most half of those remaining here. Returns the number transferred.
--- a/include/route/HomeChooser.h
+++ b/include/route/HomeChooser.h
@@ -40,7 +40,7 @@
 
     explicit HomeChooser(Random random);
 
-    /** Returns the best home of @p candidates that is not in @p tried, or null if there is none. */
+    /** Returns the home of least cost in @p candidates that has servers and is not in @p tried, or null. */
     const HomeCandidate *choose(const std::string &service, const std::vector<HomeCandidate> &candidates,
                                 const std::set<NodeRef> &tried, SteadyTime now) const;
     void noteSent(const std::string &service, const NodeRef &home);
@@ -49,12 +49,15 @@
                   SteadyTime now);
     /** Records the end of a request to @p home. @p failed: its servers gave no response or a faulty one. */
     void noteDone(const std::string &service, const NodeRef &home, bool failed, SteadyTime now);
-    /** Records that no response came over the path to @p home. */
+    /**
+     * Records that no response came over the path to @p home. The path counts as failed for a time that doubles with
+     * each failure, up to a limit.
+     */
     void notePathFailure(const NodeRef &home, SteadyTime now);
     /** Records that a message came over the path to @p home. */
     void notePathRecovered(const NodeRef &home);
     bool isPathFailed(const NodeRef &home, SteadyTime now) const;
-    /** Removes homes that have been idle for a while. */
+    /** Removes homes that have been idle, and paths that have not counted as failed, for a while. */
     void expire(SteadyTime now);
 
 private:
--- a/include/route/HomeRanking.h
+++ b/include/route/HomeRanking.h
@@ -72,8 +72,8 @@
     double zoneRoundTripMs = 3.0;
     double regionRoundTripMs = 62.0;
     /**
-     * Loss if all slots are in use; proportionally less otherwise. Spreads work over equal homes, since full servers
-     * are slower.
+     * Loss if the home has as many requests as slots; proportional to the number of requests, without an upper bound.
+     * Spreads work over equal homes, since full servers are slower.
      */
     double fullServerLoss = 40.0;
     /** A home without a load report for this long gets retryable work as if its server were known to be healthy. */
@@ -142,7 +142,10 @@
 
     explicit HomeRanking(Random random, RankingTuning tuning = {});
 
-    /** Returns the best of @p homes that is not in @p tried. Its node is empty if there is none. */
+    /**
+     * Returns the home of least expected loss in @p homes, without those in @p tried and those avoided because their
+     * server is likely gray. Its node is empty if there is none.
+     */
     HomeChoice choose(const std::vector<RankedHome> &homes, const std::set<std::string> &tried, const HomeQuery &query,
                       SteadyTime now) const;
     void noteSent(const std::string &node);
@@ -161,7 +164,7 @@
     void notePathFailure(const std::string &node);
     void notePathRecovered(const std::string &node);
     bool isPathFailed(const std::string &node) const;
-    /** Removes nodes that are not in @p known. */
+    /** Removes nodes that are not in @p known and have no request in flight. */
     void keepOnly(const std::set<std::string> &known);
 
 private:
@@ -174,7 +177,7 @@
         /** Requests in flight when the load was reported. Those sent since are not included in the load. */
         std::int32_t inFlightAtLoad = 0;
         HomeLoad load;
-        /** Reported waits by priority. */
+        /** Reported waits by the priority that they apply to. */
         std::map<int, ReportedWait> waits;
         bool hasLoad = false;
         SteadyTime loadAt;
@@ -199,7 +202,10 @@
     double lossWithoutWait(const RankedHome &home, const HomeQuery &query, const Defaults &defaults,
                            SteadyTime now) const;
     double delayLoss(double waitMs, double roundTrip, double slowdown, const HomeQuery &query) const;
-    /** Returns the reported wait that still has the most weight, or nothing without a report. */
+    /**
+     * Returns the longest reported wait, after decay with its age, among the reports for requests of the same or a more
+     * urgent priority. Nothing without such a report.
+     */
     std::optional<ReportedWait> reportedWait(const RankedHome &home, const HomeQuery &query, SteadyTime now) const;
     double expectedWait(const RankedHome &home, const HomeQuery &query, const Defaults &defaults, SteadyTime now) const;
     double currentGrayProbability(const RankedHome &home, const Defaults &defaults, SteadyTime now) const;
--- a/include/route/HomeSearch.h
+++ b/include/route/HomeSearch.h
@@ -23,7 +23,7 @@
 {
 public:
     explicit HomeSearch(HomeSearchTuning tuning = {});
-    /** Returns true if another home may be tried. */
+    /** Returns true if the request may be sent once more, to another home or to one that refused it. */
     bool canContinue() const;
     /**
      * Returns true if the request is to wait at the next home that admits it, since no other home is likely to be
--- a/src/floor/HomeFloor.cpp
+++ b/src/floor/HomeFloor.cpp
@@ -9,7 +9,10 @@
 
 namespace {
 
-/** Lost servers count towards a floor given as a share for this long, so that crashes are not followed by ejections. */
+/**
+ * Lost servers stay in the capacity of which a floor is a share for this long, so that crashes are not followed by
+ * ejections.
+ */
 constexpr Millis capacityRetention = std::chrono::minutes(15);
 
 } // namespace
--- a/src/home/LocalServerState.cpp
+++ b/src/home/LocalServerState.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 /**
- * Largest number of recorded deregistrations. A record is needed only as long as heartbeats can be delayed, and the
- * server beside one node restarts far less often than that.
+ * Largest number of server ids with a recorded deregistration. A record is needed only while delayed heartbeats can
+ * still arrive, and in that time the server beside one node restarts far fewer times than this.
  */
 constexpr std::size_t maxDeregistered = 64;
 } // namespace
--- a/src/home/ServiceHome.cpp
+++ b/src/home/ServiceHome.cpp
@@ -11,7 +11,7 @@
 
 /** Half-life of results in the peers' share of bad results. */
 constexpr Millis resultHalfLife = std::chrono::seconds(1);
-/** Good results assumed of a service with few results. */
+/** Good results added to the counted ones, so that few results do not make a high share of bad ones. */
 constexpr double priorGood = 3.0;
 constexpr double workTimeSmoothing = 0.1;
 constexpr double suspicionThreshold = 0.3;
--- a/src/limit/NestedCallTracker.cpp
+++ b/src/limit/NestedCallTracker.cpp
@@ -6,7 +6,10 @@
 
 namespace {
 
-/** If a larger share of a route's requests came while the server was idle, they are not nested calls. */
+/**
+ * Largest share of a route's requests that may have come while the server was idle, in the weaker test of
+ * mayBeNestedCall().
+ */
 constexpr double maxIdleShareOfCalls = 0.03;
 /**
  * Number of requests that callers would have sent while the server was idle, from which on their absence is evidence:
@@ -14,8 +17,8 @@
  */
 constexpr double minExpectedIdleArrivals = 3.0;
 /**
- * Fraction of that number below which requests are nested calls. A few nested calls also come while the server is idle,
- * because a call may be read after its run has ended.
+ * If fewer than this fraction of the expected idle arrivals came, the requests are nested calls. A few nested calls
+ * also come while the server is idle, because a call may be read after its run has ended.
  */
 constexpr double maxIdleFractionOfCalls = 0.25;
 /**
--- a/src/limit/RouteOrigins.cpp
+++ b/src/limit/RouteOrigins.cpp
@@ -8,12 +8,13 @@
 namespace {
 
 /**
- * Negative logarithm of the probability, about 1 in 10000, that requests of callers come only from these VMs by chance.
+ * Negative natural logarithm of the probability, about 1 in 10000, that requests of callers come only from these VMs by
+ * chance.
  */
 constexpr double evidenceThreshold = 9.0;
 /**
- * Lower bound of a share, which bounds the weight of one request. A share of one, a zone whose VMs all belong to the
- * calling services, gives no evidence.
+ * Lower bound of the share of a zone's VMs that belong to the calling services. It bounds the evidence of one request,
+ * the negative logarithm of the share, to 3. A share of one gives no evidence.
  */
 constexpr double minShare = 0.05;
 /** Counts are reset when they reach this, because a new configuration can change which services call the route. */
