--- a/src/sidecar/CallerHandler.h
+++ b/src/sidecar/CallerHandler.h
@@ -29,7 +29,7 @@
 
     NodeCore &core_;
     WeightedRoundRobin balancer_;
-    /** The result of the last readiness check. */
+    /** Result of the last readiness check. A node that is ready may stay so with an older configuration. */
     bool lastReady_ = false;
 };
 
--- a/src/sidecar/FenceService.cpp
+++ b/src/sidecar/FenceService.cpp
@@ -13,7 +13,7 @@
 
 /** Relays used in addition to the direct path: two, since one of them may be unreachable itself. */
 constexpr std::size_t relayCount = 2;
-/** Timeout for forwarding a fence of another node. */
+/** A relay's timeout for opening a link to the target of a fence, and for its reply. */
 constexpr Millis forwardTimeout{800};
 /** Timeout for fetching a large reply over one path. */
 constexpr Millis fetchTimeout{4000};
--- a/src/sidecar/FenceService.h
+++ b/src/sidecar/FenceService.h
@@ -41,10 +41,10 @@
     FenceService(NodeCore &core, FenceHandler fenceLocally);
 
     /**
-     * Queries the state of @p work over @p path, then over all paths if @p path is empty or the result is NotKnown, and
-     * stores in @p path the link whose reply is returned. Unless @p queryOnly, prevents the Work from starting if it
-     * has not started yet. Returns NotKnown if no reply with another state arrives; each of the two queries takes up to
-     * @p timeout. A large reply that is ready is fetched within @p left. @pre called from a fiber.
+     * Returns the state of @p work at its home; NotKnown if no reply with another state arrives. Queries over @p path
+     * first. If @p path is empty or the result is NotKnown, queries over all paths and sets @p path to the link that
+     * replied. Each of the two queries takes up to @p timeout. Unless @p queryOnly, the query prevents a Work that has
+     * not started from starting. A large reply that is ready is fetched within @p left. @pre called from a fiber.
      */
     FenceReply query(const SentWork &work, FencePath &path, bool queryOnly, Duration timeout, Duration left);
     /** Queries the outcome over the open link @p link. @pre called from a fiber. */
--- a/src/sidecar/Forwarder.cpp
+++ b/src/sidecar/Forwarder.cpp
@@ -58,7 +58,7 @@
 
     std::shared_ptr<const ForwardJob> jobPtr;
     const ForwardJob &job;
-    /** A response up to this time meets the response time objective. */
+    /** End of the response time objective; for a nested call, the deadline. */
     SteadyTime objective;
     /** Made by the server beside this node on behalf of a request that it runs. */
     bool nestedCall = false;
@@ -329,11 +329,12 @@
     attempt->reachedServer = attempt->reachedServer || reply.reachedServer || reply.outcome == Outcome::Unknown;
     const bool refused = reply.outcome == Outcome::NotRun && !reply.reachedServer;
     if (refused) {
-        // The home may be chosen again: by the load that its refusal reported it may still be the best one.
+        // No server received the request, so this send does not count as an attempt.
         run->reachedHomes.erase(choice.node);
         // A fenced Work never runs, and the new link that carried the fence reply may carry the next Work.
         const bool reachable = !result.pathFailed || reply.reason == fencedReason;
         if (reachable && !noServer && !likelyGray) {
+            // The home may be tried again: with the load that its refusal reported it may still be the best one.
             run->search.noteRefused(choice.node);
         }
         return attempt->control->cancelled || reply.reason == poisonReason;
@@ -433,8 +434,7 @@
     }
     retryBudgets_.noteRequest(job.service);
     if (run->nestedCall) {
-        // A response after the objective can still let the request that waits for it meet its deadline. Without a
-        // response that request fails.
+        // The request that waits for a nested call fails without a response, but can still succeed with a late one.
         run->objective = job.deadline;
     }
     job.control->interrupt = [run] { run->notifier.notify(); };
--- a/src/sidecar/Forwarder.h
+++ b/src/sidecar/Forwarder.h
@@ -44,8 +44,9 @@
 };
 
 /**
- * Forwards callers' requests to servers: chooses a home, tries another one when a home refuses, and retries or hedges
- * idempotent requests within the fleet's retry budget. Not thread safe.
+ * Forwards callers' requests to servers: chooses a home and tries another one when a home refuses. Within the fleet's
+ * retry budget, it retries requests that a server has received but not run, and retries or hedges idempotent requests.
+ * Not thread safe.
  */
 class Forwarder
 {
@@ -80,7 +81,7 @@
     struct Attempt {
         RunControlPtr control;
         bool ended = false;
-        /** No node could report the outcome. */
+        /** No node could report the outcome when it was queried. Queries continue until the attempt ends. */
         bool outcomeUnknown = false;
         WorkReply reply;
         std::string home;
--- a/src/sidecar/LocalHome.cpp
+++ b/src/sidecar/LocalHome.cpp
@@ -20,13 +20,11 @@
 /** How long the result of a Work is kept. A sender queries it within its deadline, and most deadlines are shorter. */
 constexpr Millis resultRetention = std::chrono::seconds(12);
 constexpr std::size_t maxRetainedResults = 2000;
-/** Longest time that a Fence may be in transit. */
+/** Longest transit time of a Fence. Its sender stops waiting sooner and ignores a later reply. */
 constexpr Millis maxFenceTransit{1500};
-/**
- * Total size limit for the large responses that are kept for senders' queries: three seconds of traffic on a 13 Mbit/s
- * link.
- */
+/** A response with a larger body counts against the limit below. */
 constexpr std::size_t largeResponseBytes = 16UL * 1024;
+/** Total size limit for large responses kept for senders' queries: three seconds of traffic on a 13 Mbit/s link. */
 constexpr std::size_t maxLargeResponseBytes = 5UL * 1024 * 1024;
 /** No server can respond in less time than this. */
 constexpr Millis minTimeLeft{5};
--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -52,7 +52,10 @@
                   const std::function<void()> &onAdmitted = {});
     /** Cancels the work if it is still queued; does nothing if it has started. */
     void cancelQueued(const WorkKey &key);
-    /** Cancels the work for a sender that no longer needs the reply. Started work that is not idempotent goes on. */
+    /**
+     * Cancels the work for a sender that no longer needs the reply. Started work that is not idempotent goes on. A Work
+     * that arrives only after this never starts.
+     */
     void cancel(const WorkKey &key);
     /**
      * Returns the state of a Work that was sent @p workAge before the query. Unless @p queryOnly, a Work that has not
@@ -74,7 +77,7 @@
     void noteNestedCall(const std::string &route);
     /** Returns true if requests of @p route from this VM are classified as nested calls of the server here. */
     bool isNestedCall(const std::string &route) const;
-    /** Returns the rank of the most urgent running work that may call @p service; nullopt if none is known to. */
+    /** Returns the rank of the most urgent running work that may call @p service; nullopt if there is none. */
     std::optional<int> callerRank(const std::string &service) const;
     /** Records a failed nested call: the work that made it may fail for that reason, without a fault of the server. */
     void noteFailedCall(const std::string &route, const std::string &service);
@@ -103,7 +106,7 @@
     };
     struct Job;
 
-    /** Returns the share of the VMs of @p zone whose server belongs to one of @p services. */
+    /** Returns the share of the VMs of @p zone whose server belongs to one of @p services; 1 if no VM is registered. */
     double zoneShare(const std::string &zone, const std::set<std::string> &services) const;
     void noteOrigin(const WorkKey &key, const std::string &route);
     void serverChanged(ServerChange change, const std::string &cause);
@@ -126,7 +129,7 @@
     LocalServerState server_;
     SlotQueue queue_;
     std::map<WorkKey, Entry> entries_;
-    /** Ended works and their end times, oldest first. */
+    /** Works that ended or were fenced, and when, oldest first. */
     std::deque<std::pair<SteadyTime, WorkKey>> ended_;
     /** The latest end time of the evicted results. */
     SteadyTime evictedUntil_;
--- a/src/sidecar/RetryBudgetService.cpp
+++ b/src/sidecar/RetryBudgetService.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/** Timeout of one transfer request. A donor replies within a round trip in the region, about 3 ms. */
+/** Timeout for opening a link to a donor, and for its reply: a round trip in the region takes about 3 ms. */
 constexpr Millis transferTimeout{60};
 constexpr TransferTuning transferTuning;
 /** Delay after too few tokens were received: the donors' sliding windows advance in steps of half a second. */
 constexpr Millis transferPause{500};
-/** How long after a denied retry less urgent requests leave tokens to it: a few steps of the sliding window. */
+/** How long after a denied retry less urgent requests may use less of the budget: a few steps of the window. */
 constexpr Millis denialRetention{2000};
 
 } // namespace
--- a/src/sidecar/WorkSender.h
+++ b/src/sidecar/WorkSender.h
@@ -35,7 +35,10 @@
 public:
     WorkSender(NodeCore &core, FenceService &fences, PathMonitor &paths);
 
-    /** Sends @p work and waits for its end. @p otherRegion: the home is in another region. @pre called from a fiber. */
+    /**
+     * Sends @p work and waits for its reply. At @p deadline or on cancellation, sends a Cancel and waits up to one more
+     * reply timeout. @p otherRegion: the home is in another region. @pre called from a fiber.
+     */
     SendResult run(const RegistryEntry &home, bool otherRegion, Work work, SteadyTime deadline,
                    const RunControlPtr &control);
 
@@ -53,7 +56,10 @@
     /** Returns false if no acknowledgement arrived within the path's reply timeout, extended if the timer was late. */
     bool awaitAck(Pending &pending, const SentWork &sent, SteadyTime deadline);
     void awaitReply(Pending &pending, const SentWork &sent, SteadyTime deadline);
-    /** Queries the home over the link of the Work, which has been idle. Returns false if no reply arrived. */
+    /**
+     * Queries the home over the link of the Work, which has been idle, and stores the reply if the Work has ended.
+     * Returns false if no reply with the state arrived.
+     */
     bool queryProgress(Pending &pending, const SentWork &sent, SteadyTime deadline);
     /**
      * Queries the home over all paths, since the one in use has failed, until the outcome is known or the deadline has
--- a/tests/integration/PipelineTest.cpp
+++ b/tests/integration/PipelineTest.cpp
@@ -64,7 +64,7 @@
         await([&](auto done) { boost::asio::async_write(socket, boost::asio::buffer(bytes), std::move(done)); });
     }
 
-    /** Reads until @p text arrives, the server closes the connection, or readTimeout expires. */
+    /** Reads until @p text (unless empty) arrives, the server closes the connection, or readTimeout expires. */
     std::string readUntil(const std::string &text)
     {
         boost::asio::steady_timer timer(loopContext(), readTimeout);
--- a/tests/integration/SuspensionTest.cpp
+++ b/tests/integration/SuspensionTest.cpp
@@ -39,7 +39,8 @@
         mesh_.setLinkFault(1, {{"fromTarget", {{"hold", true}}}});
         runConcurrently({[&] { mesh_.send(0, "round-" + std::to_string(round), "/dates/1", Millis(900)); },
                          [&] {
-                             // The first ack is missed after 150 ms; the query that follows has the same timeout.
+                             // The first ack is missed after 150 ms; the ping that checks the path next has the same
+                             // timeout.
                              pause(Millis(180 + round * 10));
                              mesh_.removeRegistryEntry("n1");
                              pause(Millis(20));
--- a/tests/standins/faultproxy.cpp
+++ b/tests/standins/faultproxy.cpp
@@ -29,7 +29,7 @@
     bool hold = false;
     /** Bytes per second; 0: no limit. */
     std::int64_t bytesPerSecond = 0;
-    /** Resets the connection after this many bytes in total; -1: never. */
+    /** Resets the connection after this many further bytes, counted over all connections; -1: never. */
     std::int64_t cutAfter = -1;
 };
 
--- a/tests/standins/objectapi.cpp
+++ b/tests/standins/objectapi.cpp
@@ -1,7 +1,7 @@
 /**
  * Stand-in for the platform's object API: versions, conditional updates, watches and call counts. On request it
- * simulates an outage, slowness, silence, watches that are cut or never answered, or responses that are lost after the
- * write took effect.
+ * simulates an outage, slowness, silence, watches that are cut or never answered, a history that is gone, or responses
+ * that are lost after the write took effect.
  */
 #include "platform/Names.h"
 #include "src/http/HttpServer.h"
