--- a/tests/integration/PairsTest.cpp
+++ b/tests/integration/PairsTest.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 /**
- * Sends bookings and resends them through other nodes until their outcome is known, while @p faults runs. Checks that
- * the reported outcomes agree with the executions.
+ * Sends bookings while @p faults runs, and resends each through other nodes until it has run, five times at most in
+ * total. Checks that the last reported outcomes agree with the executions.
  */
 void bookDuringFaults(Fleet &fleet, const std::string &name, const std::function<void()> &faults)
 {
