--- a/include/base/Clock.h
+++ b/include/base/Clock.h
@@ -20,7 +20,7 @@
     virtual WallTime wallNow() const = 0;
 };
 
-/** The clocks of the operating system. */
+/** Reads CLOCK_BOOTTIME and the wall clock of the operating system. */
 class SystemClock final : public Clock
 {
 public:
--- a/include/base/EventLog.h
+++ b/include/base/EventLog.h
@@ -54,7 +54,10 @@
     void write(Severity severity, std::string name, std::vector<EventField> fields);
     /** Writes an event about one request, if the rate limit allows it. Half of the burst is reserved for failures. */
     void writeRequest(Severity severity, std::string name, std::vector<EventField> fields);
-    /** Flushes buffered lines and logs how many were dropped. Call about five times a second. */
+    /**
+     * Writes the buffered lines that standard output accepts without blocking, and logs how many lines were dropped.
+     * Call about five times a second.
+     */
     void flush();
     /** Returns the events in which a field's value equals @p subject, oldest first. */
     std::vector<Event> matching(const std::string &subject) const;
@@ -73,7 +76,10 @@
 
 /** Sends log lines to standard output through a LineWriter. Call once, before the first event. */
 void setUpLogging();
-/** Flushes buffered log lines; called at the end of the process. */
+/**
+ * Writes the buffered log lines that standard output accepts without blocking. Called at the end of the process, which
+ * loses the rest.
+ */
 void flushLogging();
 
 } // namespace waxwing
--- a/include/base/JsonReader.h
+++ b/include/base/JsonReader.h
@@ -18,7 +18,7 @@
 class JsonReader
 {
 public:
-    /** A @p value that is not an object is itself a finding. */
+    /** Adds a finding at @p place if @p value is not an object. */
     JsonReader(const nlohmann::json &value, std::string place, Findings &findings);
 
     bool has(const std::string &key) const;
--- a/include/kernel/Kernel.h
+++ b/include/kernel/Kernel.h
@@ -11,8 +11,8 @@
 namespace waxwing {
 
 /**
- * The micro-kernel: holds the services of one process by name, and stops them in reverse order of their start. Not
- * thread safe: the node's thread only.
+ * The micro-kernel: holds the services of one process by name, and runs the steps of the graceful shutdown. Not thread
+ * safe: the node's thread only.
  */
 class Kernel
 {
--- a/include/settings/NodeSettings.h
+++ b/include/settings/NodeSettings.h
@@ -41,7 +41,7 @@
     std::uint32_t fleetKeyWritesPerSecond = 100;
     /** Object API calls for pledges that the whole fleet may make each second; each node gets its share. */
     std::uint32_t fleetPledgeCallsPerSecond = 200;
-    /** Bytes of requests and responses that this node may transfer between regions each second. */
+    /** Bytes per second of requests that this node may send to homes in other regions, and of their responses. */
     std::uint64_t regionBytesPerSecond = 8UL * 1024 * 1024;
 };
 
@@ -72,7 +72,7 @@
     Endpoint callers;
     Endpoint peers;
     Endpoint operators;
-    /** Endpoint at which other nodes reach the peer port, if it differs from the listening endpoint. */
+    /** Endpoint at which other nodes reach the peer port; equals @c peers if not set. */
     Endpoint advertisedPeers;
     Endpoint objectApi;
     /**
--- a/include/wire/Messages.h
+++ b/include/wire/Messages.h
@@ -40,7 +40,7 @@
 enum class ExecStage : std::uint8_t {
     /** Sent to the incarnation that owns the ticket, which claims the ticket and then runs the request. */
     Claim = 1,
-    /** Sent to a home, which hands the request to one of its servers, at most once. */
+    /** Sent to a home, which runs the request at one of its servers, at most once unless it is idempotent. */
     Run = 2,
 };
 
@@ -75,7 +75,7 @@
 /** Cancels an Exec or a Work. */
 struct Cancel {
     std::uint64_t id = 0;
-    /** Has no effect if the request has started: the sender then still waits for its reply. */
+    /** Cancels a Work only while it is queued; if it has started, the sender still waits for its reply. */
     bool onlyIfQueued = false;
 };
 
@@ -123,7 +123,7 @@
     Millis age{0};
 };
 
-/** All claims of a node that shuts down; acknowledged with a Pong of the same id. */
+/** Claims of a node that shuts down, in one or several messages; acknowledged with a Pong of the same id. */
 struct ClaimHandover {
     std::uint64_t id = 0;
     std::vector<ClaimOwner> owners;
@@ -131,8 +131,8 @@
 };
 
 /**
- * Versions that a node holds, attached to every message about work. A receiver that holds a lower version requests the
- * newer state from the sender.
+ * Versions that a node holds, attached to Work, WorkAck, WorkReply and state updates. A receiver that holds a lower
+ * version requests the newer state from the sender.
  */
 struct KnownVersions {
     std::uint64_t config = 0;
@@ -234,7 +234,7 @@
     Underway = 2,
     /** It ended. The reply is included unless it is large and was not requested. */
     Ended = 3,
-    /** The target is unreachable, or is another incarnation. */
+    /** The target is unreachable, is another incarnation, or has no entry for the work and may have discarded it. */
     NotKnown = 4,
 };
 
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -37,7 +37,7 @@
     return out + "\"";
 }
 
-/** Buffers the process's log lines for standard output. */
+/** Returns the process's LineWriter for standard output. */
 LineWriter &standardOutput()
 {
     static LineWriter writer(nonBlockingSink(STDOUT_FILENO));
--- a/src/fiber/FiberNotifier.h
+++ b/src/fiber/FiberNotifier.h
@@ -13,7 +13,10 @@
 class FiberNotifier
 {
 public:
-    /** Returns at the next notify(), or when @p timeout has passed. @pre called from a fiber; one waiter at a time. */
+    /**
+     * Returns at the next notify(), or when @p timeout has passed; at once if notify() was called since the last wait.
+     * @pre called from a fiber; one waiter at a time.
+     */
     void wait(boost::asio::io_context &ioContext, Duration timeout)
     {
         if (!notified_ && timeout > Duration(0)) {
--- a/src/http/HttpConnection.h
+++ b/src/http/HttpConnection.h
@@ -23,7 +23,7 @@
     HttpServer::RejectHook onReject;
     /** Requests that were read and have no response yet. */
     std::size_t inFlight = 0;
-    /** Each connection closes after the responses to the requests that it has read. */
+    /** Each connection closes after the responses to the requests that it has read, or after its next request. */
     bool closing = false;
     /** Connections without a request in progress are closed. */
     bool draining = false;
@@ -67,7 +67,7 @@
     /** Starts a read, unless one is in progress or enough is buffered. */
     void readAhead();
     void onInput(boost::system::error_code error, std::size_t bytes);
-    /** Notifies the handlers that the caller no longer waits for responses. */
+    /** Notifies the handlers that their responses can't be delivered. */
     void onCallerDisconnected();
     /** Waits for more input. Returns false if none has arrived at @p until, or if no more is expected. */
     bool awaitInput(SteadyTime until);
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -48,7 +48,10 @@
     AfterResponse after = AfterResponse::KeepOpen;
 };
 
-/** Notifies a handler that its caller closed the connection and no longer waits for the response. */
+/**
+ * Notifies a handler that its response can't be delivered: the caller closed the connection, or the last response on it
+ * was written or failed.
+ */
 struct CallerWatch {
     bool disconnected = false;
     /** Set by the handler, called at most once. */
@@ -81,11 +84,14 @@
     std::uint16_t port() const;
     std::size_t requestsInFlight() const;
     std::size_t connections() const;
-    /** Replaces the limits; they apply from the next request of each connection on. */
+    /**
+     * Replaces the limits. Size and pipelining limits apply from the next request of each connection on, timeouts from
+     * the next wait on, and the limit on connections to new ones only.
+     */
     void setLimits(const HttpLimits &limits);
     /**
-     * From now on each connection closes after the responses to the requests that it has read, and its last response
-     * announces this. New connections are still accepted.
+     * From now on each connection closes after the responses to the requests that it has read, or an idle one after its
+     * next request. The last response announces this. New connections are still accepted.
      */
     void announceClose();
     /** Accepts no new connection, and closes each open one after the responses in progress. */
--- a/src/link/PeerHub.cpp
+++ b/src/link/PeerHub.cpp
@@ -112,9 +112,11 @@
     LinkId nextLink = 1;
     std::uint64_t nextCall = 1;
     std::map<LinkId, LinkPtr> links;
+    /** The latest outgoing link to each peer whose Hello was received. */
     std::map<NodeRef, LinkPtr> outgoing;
+    /** Outgoing links that wait for the peer's Hello. */
     std::map<Endpoint, LinkPtr> opening;
-    /** Outgoing links on which the peer's Hello was received. */
+    /** The latest outgoing link to each endpoint from which a Hello was received. */
     std::map<Endpoint, LinkPtr> byEndpoint;
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending;
     std::uint64_t bytesSent = 0;
--- a/src/link/PeerHub.h
+++ b/src/link/PeerHub.h
@@ -27,10 +27,10 @@
  * Manages the links to other nodes: WebSocket connections (websocketpp) that carry CBOR messages in the binary frames
  * of LinkFramer. websocketpp's own compression is not used: its client never enables it.
  *
- * A link that this node opened belongs to one incarnation of the peer: the peer sends a Hello first, and a link to an
- * unexpected peer is not used. A reply is accepted only on the link that carried its request, so a reply from an
- * earlier incarnation of the peer is never taken for one from a later incarnation. Not thread safe: the node's thread
- * only.
+ * A link that this node opened belongs to one incarnation of the peer: the peer sends a Hello first, and calls don't
+ * use a link to an unexpected peer. An ExecReply or Pong is accepted only on the link that carried its request, so a
+ * reply from an earlier incarnation of the peer is never taken for one from a later incarnation. Other replies are
+ * passed to Hooks::onMessage from any link. Not thread safe: the node's thread only.
  */
 class PeerHub
 {
@@ -87,7 +87,7 @@
      */
     tl::expected<ExecReply, CallError> call(const NodeRef &to, const Endpoint &endpoint, Exec exec, Duration timeout,
                                             const std::function<void(std::uint64_t id)> &onSent = {});
-    /** Sends a message that the peer acknowledges with a Pong of its id. @pre called from a fiber. */
+    /** Sends @p message and waits until the peer acknowledges it with a Pong of its id. @pre called from a fiber. */
     Expected<void> sendAcknowledged(const NodeRef &to, const Endpoint &endpoint, ClaimHandover message,
                                     Duration timeout);
     /** Checks that the peer replies within @p timeout. @pre called from a fiber. */
