--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -79,7 +79,7 @@
     std::fflush(stdout);
 }
 
-/** Measures the heap that the result of @p build occupies, for each size. */
+/** Prints the fit of the heap bytes that the result of @p build occupies at each size. */
 void memorySlope(const char *name, const std::vector<int> &sizes,
                  const std::function<std::shared_ptr<void>(int)> &build)
 {
@@ -92,7 +92,7 @@
     printFit(name, "bytes each", points);
 }
 
-/** Measures the processor time of @p work in microseconds for each size, best of three runs. */
+/** Prints the fit of the processor time of @p work in microseconds at each size, best of three runs. */
 void timeSlope(const char *name, const char *unit, const std::vector<int> &sizes, const std::function<void(int)> &work)
 {
     std::vector<Point> points;
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,10 +1,10 @@
 /**
  * Measures the control overhead of one node as the fleet grows: real processes on loopback, no callers. For each size
- * it prints processor time, memory, link bytes and object API calls, and the time until changes are in force
- * everywhere.
+ * it prints processor time, memory, link bytes and object API calls, and the time until changed intents are in force at
+ * all nodes.
  *
  * Run: bench-fleet [NODES or NODESxSERVERS ...]
- *      bench-fleet load NODES RATE...    requests per second, directly and through the fleet, side by side
+ *      bench-fleet load NODES RATE...    open-loop load of RATE requests/s, directly and then through the fleet
  *      bench-fleet ticket NODES RATE...  the same with a ticket for each write
  *      bench-fleet kill                  share of new work that is not served after one node of three is killed
  */
@@ -57,7 +57,7 @@
     return out;
 }
 
-/** Measures open-loop load on twelve servers, directly and through the fleet. */
+/** Runs open-loop load on twelve servers, directly and through the fleet. @pre @p nodes divides 12. */
 void measureLoad(int nodes, const std::vector<std::string> &rates, bool ticket)
 {
     FleetOptions options;
--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -1,6 +1,7 @@
 /**
- * Measures queues, early refusal and the limit on the slots of one class at one home: goodput at one to three times its
- * capacity against a baseline without early refusal, and response times of a fast class beside a slow class.
+ * Measures queue limits, early refusal and the limit on the slots of one class at one home: goodput at 0.8 to 3 times
+ * its capacity against a baseline without early refusal and with practically unbounded queues, and response times of a
+ * fast class beside a slow class.
  */
 #include "tests/support/HomeRig.h"
 
@@ -31,7 +32,7 @@
     options.responseTime = Millis(600);
     options.deadline = Millis(600);
     options.floor = CapacityFloor{4, 0.0};
-    // 12 slots at a mean of 60 ms per request.
+    // The capacity is 200 requests per second: 12 slots at a mean of 60 ms per request.
     options.rate = 200.0 * loadFactor;
     options.refuseEarly = limits;
     options.queuePerClass = limits ? 64 : 1000000;
--- a/tests/unit/ClaimTableTest.cpp
+++ b/tests/unit/ClaimTableTest.cpp
@@ -115,7 +115,8 @@
                   "handover, used and unused and expired tickets, get the owner's decisions from the successor")
 {
     // A node is replaced while callers still hold its tickets. The successor must replay the responses of requests that
-    // ran, start unused tickets, and refuse tickets so old that the stopped node may have removed their claims.
+    // ran, start requests with unused tickets, and refuse tickets so old that the stopped node may have removed their
+    // claims.
     const Ticket old = issuer.issue();
     clock.advance(limits.validity);
     const Ticket used = issuer.issue();
@@ -138,7 +139,7 @@
 TEST_CASE_FIXTURE(OwnerFixture, "handover, larger than one message, takes effect only when it is complete")
 {
     // The claims of a stopping node with many stored responses don't fit into one message, and none may be lost. Guards
-    // against a successor that received only some of the messages and starts a used ticket whose claim is in another.
+    // against a successor that received only some of the messages and runs a request again whose claim is in another.
     ClaimTable many(self, clock, ClaimLimits{1000, 1000000, std::chrono::minutes(10)});
     std::vector<Ticket> used;
     for (int i = 0; i < 40; ++i) {
@@ -264,7 +265,7 @@
                 }
                 const auto end = random() % 5;
                 if (end == 0) {
-                    // Its caller times out, so the outcome is "unknown".
+                    // The owner is suspended before the execution; the caller times out and gets "unknown".
                     reported[ticket.text()] = Outcome::Unknown;
                     suspended.push_back(Suspended{static_cast<std::size_t>(at - owners.begin()), ticket});
                 } else if (end == 1) {
--- a/tests/unit/FreshnessTest.cpp
+++ b/tests/unit/FreshnessTest.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-// Guards against a starting node that accepts callers before its version is confirmed as the newest.
+// Guards against a starting node that accepts callers before its state is confirmed as the newest.
 TEST_CASE_FIXTURE(FreshnessFixture, "freshness, nothing confirmed and no request made, does not permit callers")
 {
     CHECK_FALSE(freshness_.mayServeCallers(at(0), false));
@@ -51,7 +51,8 @@
     }
 }
 
-// Guards against a process that resumes after a suspension and serves with old state because of an earlier failure.
+// Guards against a process that resumes after a suspension and serves with old state: a request that failed before the
+// suspension no longer proves that newer state can't be obtained.
 TEST_CASE_FIXTURE(FreshnessFixture, "freshness, process that was suspended, needs a new request first")
 {
     freshness_.confirm(at(0));
--- a/tests/unit/HomeRankingTest.cpp
+++ b/tests/unit/HomeRankingTest.cpp
@@ -61,8 +61,9 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, large response, waits in the region where a small one leaves it")
 {
-    // Responses of 90 KB went to other regions as readily as responses of 400 bytes. The links between regions are
-    // narrow and paid by volume, and each large response delayed the messages behind it.
+    // Guards against large responses between regions: those of 90 KB were fetched from there as readily as those of 400
+    // bytes. The links between regions are narrow and paid by volume, and each large response delayed the messages
+    // behind it.
     for (const char *near : {"a1", "a2", "b1"}) {
         load(near, 0, Millis(640), 0.02);
     }
@@ -73,8 +74,9 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, home without a report for a second, is tried by retryable work")
 {
-    // Each sender kept using the homes whose last report was good. Homes without a report got no work for many seconds
-    // although their servers were healthy, while others were full: fewer servers than the floor's share were in use.
+    // Guards against senders that use only homes whose last report was good. Homes without a report got no work for
+    // many seconds although their servers were healthy, while others were full: fewer servers than the floor's share
+    // were in use.
     load("a1", 3, Millis(0), 0.002);
     load("a2", 3, Millis(0), 0.4);
     now += std::chrono::milliseconds(4000);
@@ -93,8 +95,8 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, servers with many slots, are filled evenly")
 {
-    // Only the last three free slots of a server counted. With eleven slots each, some servers were full and slow while
-    // others were idle.
+    // Guards against a load term that counts only the last three free slots of a server: with eleven slots each, some
+    // servers were full and slow while others were idle.
     load("a1", 4, Millis(0), 0.002, 11);
     load("a2", 9, Millis(0), 0.002, 11);
     CHECK(choose(false).node == "a2");
@@ -120,8 +122,8 @@
 TEST_CASE_FIXTURE(FourHomes,
                   "home ranking, homes in the region likely gray, sends non-idempotent work to another region")
 {
-    // Three of a region's four homes were known to be gray. Two seconds later requests went there again and were lost,
-    // because the probability decayed faster than gray phases end.
+    // Guards against a probability that decays faster than gray phases end: three of a region's four homes were known
+    // to be gray, and two seconds later requests went there again and were lost.
     load("a1", 3, Millis(0), 0.95);
     load("a2", 3, Millis(0), 0.95);
     load("b1", 3, Millis(0), 0.95);
@@ -148,16 +150,16 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, only home behind a failed path, allows a wait up to the deadline")
 {
-    // A link stopped delivering, and three of six requests that were retried over a new link found no free slot. The
-    // failed path counted against waiting there although there was no other home, so they were refused.
+    // Guards against a failed path that shortens the queue timeout at the only home: a link stopped delivering, and
+    // three of six requests that were retried over a new link found no free slot and were refused.
     ranking.notePathFailure("a1");
     CHECK(choose(false, {"a2", "b1", "far"}).queueTimeout >= Millis(2000));
 }
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, new server at low load, is tried by retryable work")
 {
-    // Servers that joined got no work for the rest of the day, because the known servers were healthy and had free
-    // slots, and an unknown one might have been gray.
+    // Guards against servers that join and get no work for the rest of the day, because the known servers are healthy
+    // and have free slots, and an unknown one might be gray.
     load("a1", 3, Millis(0), 0.01);
     CHECK(choose(true).node == "a2");
     CHECK(choose(false).node == "a1");
@@ -218,8 +220,9 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, failed path, stays last until a probe succeeds")
 {
-    // A VM was lost permanently. Every sender lost a request there, waited a second, and lost the next one, since the
-    // outcome of a request is unknown once its home is lost. Only a probe may find out whether the VM is back.
+    // Guards against requests that are sent again and again to a VM that is lost permanently: every sender lost a
+    // request there, waited a second, and lost the next one, since the outcome of a request is unknown once its home is
+    // lost. Only a probe may find out whether the VM is back.
     ranking.notePathFailure("a1");
     now += std::chrono::seconds(20);
     CHECK(choose(false, {"a2"}).node == "b1");
@@ -245,8 +248,8 @@
 
 TEST_CASE_FIXTURE(FourHomes, "home ranking, old report of a long wait, does not hide a recent shorter one")
 {
-    // After a burst of urgent requests, homes were assumed to have no queue: the old long wait of the urgent priority
-    // was preferred to the recent one of this priority, and had decayed to nothing.
+    // Guards against homes that are assumed to have no queue after a burst of urgent requests: the old long wait of the
+    // urgent priority was used instead of the recent one of this priority, and had decayed to nothing.
     HomeLoad old;
     old.wait = Millis(3000);
     old.grayProbability = 0.02;
--- a/tests/unit/SlotQueueTest.cpp
+++ b/tests/unit/SlotQueueTest.cpp
@@ -161,8 +161,8 @@
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, late request with no slot before its timeout, is returned at once")
 {
-    // Under high load, a request that has become late waits behind others for a second or more until its timeout and is
-    // then refused. It can't be served, so the home must return it as soon as that is known.
+    // Guards against a late request that waits behind others under high load for a second or more, until its timeout,
+    // and is refused only then. It can't be served, so the home must return it as soon as that is known.
     for (int round = 0; round < 20; ++round) {
         fill();
         now += Millis(200);
@@ -253,8 +253,9 @@
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, probes keep failing, interval between them grows")
 {
-    // Servers that failed nearly everything for 15 seconds were probed six times a second. Each probe used up one of
-    // the two attempts of an idempotent request and a retry, and the second server was often gray too.
+    // Guards against frequent probes of a server that stays gray: servers that failed nearly everything for 15 seconds
+    // were probed six times a second. Each probe used up one of the two attempts of an idempotent request and a retry,
+    // and the second server was often gray too.
     failAtOnce();
     int probes = 0;
     for (const SteadyTime end = now + std::chrono::seconds(12); now < end; now += Millis(20)) {
@@ -306,8 +307,9 @@
 
 TEST_CASE_FIXTURE(OneServer, "slot queue, server almost certainly gray, refuses senders that accept a gray server")
 {
-    // With all healthy homes busy, senders knowingly used servers that failed nine of ten requests, and callers could
-    // not know whether their request had run. After a refusal they know that it has not and that they may retry.
+    // Guards against lost requests while all healthy homes are busy: senders then accepted servers that failed nine of
+    // ten requests, and callers could not know whether their request had run. After a refusal they know that it has not
+    // and that they may retry.
     failAtOnce();
     failAtOnce();
     SlotRequest booking = request("book", false);
