--- a/include/claim/ClaimTable.h
+++ b/include/claim/ClaimTable.h
@@ -21,9 +21,9 @@
     Millis validity = std::chrono::minutes(20);
 };
 
-/** The owner's decision about a request that carries one of its tickets. */
+/** A claim table's decision about a request that carries a ticket. */
 enum class ClaimDecision {
-    /** First attempt: the request may run. */
+    /** The ticket is unused, or no attempt with it has run: the request may run. */
     Start,
     /** An attempt is running: the caller waits for its result. */
     Running,
@@ -41,7 +41,7 @@
     Full,
     /** This node is stopping and accepts no new claims. */
     Stopping,
-    /** The ticket belongs to another incarnation. */
+    /** The ticket's owner is neither this incarnation nor an adopted one, or the issue time is in its future. */
     NotOwner,
 };
 
@@ -93,15 +93,16 @@
     /** Returns all finished claims for the successor. @pre stopClaiming() was called and running() is 0. */
     ClaimHandover handOver(Millis ownAge) const;
     /**
-     * Takes over the tickets of owners that have stopped: responses of finished claims are replayed here, and unused
-     * tickets start here. @pre only one node is ever named as an owner's successor.
+     * Takes over the tickets of owners that have stopped. begin() then replays the responses of their finished claims,
+     * returns OutcomeUnknown for those without a stored response, and lets requests with unused tickets start. @pre
+     * only one node is ever named as an owner's successor.
      */
     void adopt(const ClaimHandover &handover);
     /** Returns true if @p owner handed its claims over to this node. */
     bool hasAdopted(const NodeRef &owner) const;
     /** Returns the owners that handed their claims over to this node. */
     std::vector<NodeRef> adoptedOwners() const;
-    /** Removes claims whose tickets have expired, and adopted owners when all their tickets have expired. */
+    /** Removes finished claims whose tickets have expired, and adopted owners when all their tickets have expired. */
     void expire();
 
 private:
--- a/include/intent/ClassIntent.h
+++ b/include/intent/ClassIntent.h
@@ -62,11 +62,11 @@
     /** Returns the class of a request by longest matching prefix, or null if none matches. */
     const ClassIntent *classFor(const std::string &method, const std::string &path) const;
     const ClassIntent *classNamed(const std::string &name) const;
-    /** Returns the lowest floor that satisfies every class. */
+    /** Returns a floor that satisfies every class: the highest server count and the highest share of any class. */
     CapacityFloor strictestFloor() const;
 };
 
-/** Version of the document format that this build reads. */
+/** Newest version of the document format that this build reads. */
 constexpr int intentSchema = 1;
 
 /**
--- a/include/node/Node.h
+++ b/include/node/Node.h
@@ -28,12 +28,15 @@
 
     /** Flushes buffered log lines. */
     void flushLog();
-    /** Applies the settings that may change at run time: limits and times. */
+    /**
+     * Replaces the limits and times, the only settings that may change at run time. Values that were copied earlier do
+     * not change: the limits of the claim table and the HTTP servers, and the limits and times of existing homes.
+     */
     void reload(const NodeSettings &settings);
     /**
      * Shuts down gracefully: accepts no new work, redirects its servers to other homes, hands over its claims, finishes
-     * the requests in flight and announces to the fleet that it leaves. Returns false if requests were still running at
-     * the time limit. @pre called from a fiber.
+     * the requests in flight and announces to the fleet that it leaves. Returns false if requests were still running
+     * after the setting times.stopWithin. @pre called from a fiber.
      */
     bool stop();
 
--- a/include/report/BurnRecorder.h
+++ b/include/report/BurnRecorder.h
@@ -60,7 +60,10 @@
     void record(const std::string &service, const std::string &className, BurnResult result);
     /** Returns the slices by "service/class", oldest first. */
     const std::map<std::string, BurnSlices> &slices() const;
-    /** Returns all slices as JSON: by "service/class", lists of start in ms and counts in the order of BurnCounts. */
+    /**
+     * Returns all slices as JSON: for each "service/class" a list of slices, each a list of its start in ms since the
+     * epoch and its counts in the order of BurnCounts.
+     */
     std::string json() const;
 
 private:
--- a/src/ctl/FleetClient.h
+++ b/src/ctl/FleetClient.h
@@ -21,8 +21,12 @@
 class FleetClient
 {
 public:
+    /** @p first: operator endpoint of the node that lists the others. @pre @p client outlives this. */
     FleetClient(HttpClient &client, Endpoint first);
-    /** Returns the nodes that the node given to the constructor lists. Errors: Unavailable, Malformed. */
+    /**
+     * Returns the nodes in the list of the first node, without entries whose operator endpoint is invalid. Errors:
+     * Unavailable, Malformed.
+     */
     Expected<std::vector<FleetMember>> members();
     /** Returns a view of one node, such as "/v1/status". Errors: Unavailable, Malformed. */
     Expected<nlohmann::json> view(const Endpoint &operators, const std::string &target);
--- a/src/intent/ClassIntent.cpp
+++ b/src/intent/ClassIntent.cpp
@@ -245,7 +245,7 @@
                                     + std::to_string(intentSchema) + ")");
         return intent;
     }
-    // waxwingctl writes this id and identifies its own write by it if the response is lost.
+    // Allowed but not used here: waxwingctl identifies its own write by this id if the response is lost.
     reader.text("operation", {});
     const nlohmann::json &classes = reader.child("classes");
     if (!classes.is_object() || classes.empty()) {
--- a/src/node/HomeService.h
+++ b/src/node/HomeService.h
@@ -29,9 +29,9 @@
     /** Handles a server's announcement; @p body is its JSON. */
     HttpResponse announce(const std::string &body);
     /**
-     * Sends the request to a server and returns its result. A non-idempotent request is sent at most once, unless it is
-     * certain that no byte of it reached the first server or that server reported that it did not run it. @pre called
-     * from a fiber.
+     * Sends the request to a server and returns its result. Retries at other servers within the retry budget; a
+     * non-idempotent request only if no byte of it reached the server or the server reported that it did not run it.
+     * @pre called from a fiber.
      */
     ExecReply run(const Exec &exec, const RunControlPtr &control);
     /** Returns the homes of this node by service, with their servers. */
--- a/src/node/IngressService.cpp
+++ b/src/node/IngressService.cpp
@@ -212,8 +212,8 @@
 {
     spawnFiber([this, link, exec] {
         ExecReply reply;
-        // The class is unknown here, so the request is not run now. The owner of a ticket can't rule out an earlier
-        // attempt and reports Unknown; a home reports NotRun.
+        // The reply if the class is unknown here, in which case the request is not run now. The owner of a ticket can't
+        // rule out an earlier attempt and reports Unknown; a home reports NotRun.
         reply.outcome = exec.stage == ExecStage::Claim ? Outcome::Unknown : Outcome::NotRun;
         reply.reason = "unknown-class";
         reply.retryAfter = Millis(500);
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -69,7 +69,7 @@
     };
     peers = std::make_unique<PeerHub>(core.ioContext, core.clock, core.self, std::move(hooks));
     Expected<void> ok = kernel.provide("platform", platform);
-    // Each service looks up the earlier ones by name in its constructor.
+    // The order matters: a constructor may look up the services before it by name.
     const auto add = [&](const std::string &name, auto &slot, auto make) {
         if (ok) {
             slot = make();
