--- a/include/fleet/FleetConfig.h
+++ b/include/fleet/FleetConfig.h
@@ -26,9 +26,9 @@
     std::string prefix;
     /** If false, a request runs at most once. */
     bool idempotent = false;
-    /** A response within this time counts in full. */
+    /** A response within this time meets the service level; a later one counts as late. */
     Millis responseTime{1000};
-    /** A request does not wait longer than this. */
+    /** Time limit of a request, from its arrival. A caller can set a shorter one. */
     Millis timeout{5000};
     /** Maximum number of servers to which one request is sent, one after the other. */
     int maxAttempts = 1;
--- a/include/fleet/WeightedRoundRobin.h
+++ b/include/fleet/WeightedRoundRobin.h
@@ -8,9 +8,8 @@
 namespace waxwing {
 
 /**
- * Divides the requests of each route among its services by weight. Smooth weighted round robin: after n requests no
- * service is more than one request away from its share; random choice would need thousands of requests for that. Not
- * thread safe.
+ * Divides the requests of each route among its services by weight. Smooth weighted round robin: each service stays
+ * within a request or two of its share; random choice would need thousands of requests to come close. Not thread safe.
  */
 class WeightedRoundRobin
 {
--- a/src/fleet/WatchElection.cpp
+++ b/src/fleet/WatchElection.cpp
@@ -67,7 +67,8 @@
 WatchRole WatchElection::role(std::optional<Duration> age, SteadyTime now)
 {
     const bool stale = !age || *age > tuning_.standInAfter;
-    // In an outage of the store all other nodes are excluded, and each node would elect itself.
+    // In an outage of the store each node excludes all others and elects itself. Replacements become stand-ins once
+    // their state is stale, since stand-ins call the store less often.
     if (elected_ && !(isReplacement_ && stale)) {
         return WatchRole::Watcher;
     }
--- a/src/sidecar/ConfigSync.cpp
+++ b/src/sidecar/ConfigSync.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /**
- * Age of the configuration at which the store is polled. An acknowledged change is due everywhere within about 2.5 s.
- * Polls are for watches on dead connections, which a node has 4 s to detect; confirmations by other nodes usually come
- * first.
+ * Age of the configuration at which the store is polled, in case the watch's connection is dead. A node has 4 s to
+ * detect that, instead of the usual 2.5 s or so for a change. Other nodes usually confirm the configuration before it
+ * reaches this age.
  */
 constexpr Millis pollAge{2200};
 /** Each end of a watcher's wait confirms the version for its whole region, which has no other confirmation. */
--- a/src/sidecar/ConfigSync.h
+++ b/src/sidecar/ConfigSync.h
@@ -32,7 +32,10 @@
     void start();
     /** Adds a hook that is called after each change. Register before start(). */
     void onChange(ChangeHook hook);
-    /** Applies the document if its version is higher. @p source: where it came from, for the log. */
+    /**
+     * Applies the document if it is valid and its version is higher. Logs the faults of an invalid one. @p source:
+     * where it came from, for the log.
+     */
     void applyDocument(const std::string &document, const std::string &source);
     /** Returns null while no version is known. */
     std::shared_ptr<const FleetConfig> current() const;
--- a/src/sidecar/PathMonitor.cpp
+++ b/src/sidecar/PathMonitor.cpp
@@ -20,7 +20,10 @@
  */
 constexpr Millis minTimeoutSameRegion{150};
 constexpr Millis minTimeoutOtherRegion{260};
-/** Minimum interval, so that a node that wrongly suspects others does not make all nodes check them continuously. */
+/**
+ * Minimum interval between checks of one node after notifications, so that a node that wrongly suspects others does not
+ * make all nodes check them continuously.
+ */
 constexpr Millis suspicionCheckInterval{2000};
 /** In a region of hundreds of nodes, those that are notified directly and confirm the failure notify others. */
 constexpr std::size_t maxNotifiedNodes = 64;
@@ -57,8 +60,8 @@
     core_.metrics.count("paths_failed");
     spawnFiber([this, node] {
         const RegistryEntryPtr found = core_.service<RegistrySync>("registry").registry().find(node);
-        // A late ack on a busy path looks like a cut. When the region was notified of every such false alarm, all its
-        // nodes checked their paths, which made them busier still.
+        // A late ack on a busy path looks like a cut. Notifying the region of each such false alarm would make all its
+        // nodes check their paths, which loads them further.
         if (found != nullptr && repliesOnLink(*found)) {
             notePathRecovered(node, true);
         } else {
--- a/src/sidecar/PathMonitor.h
+++ b/src/sidecar/PathMonitor.h
@@ -38,12 +38,15 @@
     Duration replyTimeout(const RegistryEntry &home) const;
     /** Records that no ack came from @p node within replyTimeout(), or that no link to it opens. Checks the path. */
     void noteFailure(const std::string &node);
-    /** Checks a node that another node reports as unresponsive. Ignores nodes that are not in the registry. */
+    /**
+     * Checks a node that another node reports as unresponsive. Ignores this node, nodes that are not in the registry,
+     * and nodes that are being probed or were checked recently.
+     */
     void handle(const PathSuspicion &suspicion);
 
 private:
     void notifyRegion(const std::string &node);
-    /** Probes until the path recovers. @pre called from a fiber. */
+    /** Probes until the path recovers or the registry no longer contains the node. @pre called from a fiber. */
     void probeUntilRecovered(const std::string &node);
     /** Returns true if the node responds on the open link. @pre called from a fiber. */
     bool repliesOnLink(const RegistryEntry &entry);
@@ -54,7 +57,7 @@
     Hooks hooks_;
     std::map<std::string, RttEstimator> estimators_;
     std::set<std::string> probing_;
-    /** Time of the last check of a suspected node. */
+    /** Time of the last check after a notification, by node. */
     std::map<std::string, SteadyTime> lastCheckedAt_;
 };
 
--- a/src/sidecar/SidecarNode.cpp
+++ b/src/sidecar/SidecarNode.cpp
@@ -32,7 +32,7 @@
 constexpr Millis stopPollInterval{20};
 /** The platform checks readiness each second and removes a node after two failures; then no more callers come. */
 constexpr Millis callerDrainDelay{2300};
-/** Time from the start of the stop until work from other nodes is refused; it has other homes then. */
+/** Time from the start of the stop until new work is refused and queued work is returned; other homes take it. */
 constexpr Millis homeDrainDelay{1000};
 /** Time kept free before the process is killed. */
 constexpr Millis stopMargin{400};
@@ -73,7 +73,8 @@
 
 WatchElectionTuning watchElectionTuning(const NodeSettings &settings)
 {
-    // Fraction of the time within which a change is due. The rest is for reading it.
+    // Age at which a node becomes a stand-in, as a fraction of the time within which a change must be in force. The
+    // rest of that time is for reading the change.
     constexpr double standInFraction = 0.6;
     WatchElectionTuning tuning;
     if (!settings.bounds.empty()) {
@@ -115,7 +116,7 @@
     HttpReply handleControl(const HttpRequest &request);
     void handleMessage(LinkId link, const NodeRef &from, Message message);
     void handleWork(LinkId link, const NodeRef &from, Work work);
-    /** Stores the link on which the sender of a Work in progress sent its last fence: the WorkReply is sent there. */
+    /** Stores @p link if the sender of work in progress sent @p fence: the WorkReply goes to the last such link. */
     void noteReplyLink(LinkId link, const NodeRef &from, const Fence &fence);
     void applyConfig(const FleetConfig &changed);
     void warmLinks();
@@ -384,8 +385,8 @@
     if (lost == nullptr || lost->region != core.settings.region || !reconnecting.insert(peer).second) {
         return;
     }
-    // A node that restarts while the store is down knows no other nodes. It receives the configuration and the registry
-    // from the first node that opens a link to it.
+    // A node that restarts while the store is down has no registry, so it can't open links itself. It obtains the
+    // configuration and the registry over the first link that another node opens to it.
     spawnFiber([this, peer] {
         Millis pause = initialReconnectDelay;
         while (!core.stopping) {
--- a/src/sidecar/SidecarNode.h
+++ b/src/sidecar/SidecarNode.h
@@ -30,12 +30,15 @@
 
     /** Writes out buffered log lines. */
     void flushLog();
-    /** Applies changed settings; the listen addresses do not change. */
+    /**
+     * Applies changed settings of the server, bounds, limits and times. Limits take effect with the next configuration;
+     * of the bounds only the time to stop. Other settings need a restart.
+     */
     void reload(const NodeSettings &settings);
     /**
      * Graceful shutdown: fails the platform's readiness check, continues to serve until callers have stopped coming,
-     * and finishes requests in flight. Returns false if work was still running at the time limit. @pre called from a
-     * fiber.
+     * and finishes requests in flight. Removes the node's registry entry if its server has deregistered. Returns false
+     * if work was still running at the time limit. @pre called from a fiber.
      */
     bool stop();
 
--- a/src/sidecar/StateUpdateService.cpp
+++ b/src/sidecar/StateUpdateService.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Millis checkInterval{100};
-/** Time for the store to report a change that another node has reported already. */
+/** Time for the watch to report a version that another node already holds; then the store is polled. */
 constexpr Millis storeNotifyTimeout{300};
 /** Minimum interval, so that a version that this node rejects does not cause continuous calls to the store. */
 constexpr Millis storePollInterval{700};
--- a/src/sidecar/StateUpdateService.h
+++ b/src/sidecar/StateUpdateService.h
@@ -13,15 +13,17 @@
 struct NodeCore;
 
 /**
- * Lets nodes obtain state from each other that the store has not delivered. Every message about work carries the
- * versions that its sender holds and the time since its configuration was known to be the newest. It confirms the state
- * of a receiver that holds the same version. A receiver with a lower version polls the store, and requests the state
- * from the sender if the store does not respond. A node that cannot reach the store, or whose watch receives nothing,
- * is therefore as current as the nodes with which it exchanges work.
+ * Lets nodes obtain the configuration and the registry from each other if the store has not delivered them. Every
+ * message about work carries the versions that its sender holds and the time since its configuration was known to be
+ * the newest. If the receiver holds the same configuration, the message confirms it. If the receiver's version is
+ * lower, it polls the store, and requests the configuration from the sender if the store does not respond. The registry
+ * is requested only while the store does not respond. A node that cannot reach the store, or whose watch receives
+ * nothing, is therefore as current as the nodes with which it exchanges work.
  *
- * A follower sends requests to its region's watchers, or to another node if it can't use a watcher's link. A reply
- * confirms its state as of the time at which the request was sent. Messages about work, which may have been delayed in
- * transit, confirm nothing to a follower. Not thread safe.
+ * A node whose configuration was not confirmed for a while requests the versions of a watcher of its region, or of
+ * another node if it can't use a watcher's link. A reply confirms the configuration as of the time at which the request
+ * was sent. Messages about work, which may have been delayed in transit, confirm nothing to a follower. Not thread
+ * safe.
  */
 class StateUpdateService
 {
@@ -33,15 +35,15 @@
     KnownVersions versions();
     void linkOpened(LinkId link);
     void linkClosed(LinkId link);
-    /** Confirms this node's state, or notes a newer version, by a message about work that came on @p link. */
+    /** Uses the versions in a message that came on @p link: confirms this node's configuration or notes newer state. */
     void noteVersions(LinkId link, const KnownVersions &peerVersions);
     void handleRequest(LinkId link, const StateUpdateRequest &request);
     void handleUpdate(LinkId link, const NodeRef &from, const StateUpdate &update);
-    /** Sends the changed configuration to the nodes of the region if this node is a watcher. */
+    /** Sends the changed configuration, or only its version if it is large, to the region if this node is a watcher. */
     void configChanged();
 
 private:
-    /** A version that another node holds and that is higher than this node's. */
+    /** A configuration version higher than this node's, a node that holds it, and when one was first seen. */
     struct NewerVersion {
         LinkId link = 0;
         std::uint64_t version = 0;
@@ -57,7 +59,7 @@
     void confirmFreshness(const KnownVersions &peerVersions, SteadyTime sentAt);
     void run();
     void sendRequestIfNeeded();
-    /** Returns the link on which to request the configuration; nothing while the store is likely to deliver it. */
+    /** Returns the link on which to request a configuration; nothing if none is needed or the store can deliver it. */
     std::optional<LinkId> configRequestLink();
     std::optional<LinkId> randomLink();
     /**
--- a/src/sidecar/StoreWatch.cpp
+++ b/src/sidecar/StoreWatch.cpp
@@ -159,8 +159,8 @@
     healthy_ = true;
     hasCalled_ = true;
     revision_ = changes.complete ? changes.revision : std::max(revision_, changes.revision);
-    // A long wait ends at a change or at its time limit, and may end earlier. Its response may be read later, and
-    // confirms nothing after the time limit.
+    // A wait can end at any time up to its limit. Its response confirms the state as of the time at which it is read,
+    // but not past the limit, since a response can lie unread.
     const bool waited = call.since > 0 && call.wait > WatchCall::minWait;
     freshness_.confirm(waited ? std::min(core_.clock.now(), calledAt + call.wait) : calledAt);
     onChanges_(changes);
--- a/src/sidecar/StoreWatch.h
+++ b/src/sidecar/StoreWatch.h
@@ -20,9 +20,9 @@
     /** Delay of the next call after changes, so that a burst of changes costs one call. */
     Millis batchDelay{0};
     /**
-     * A waiting call ends after a random time in this range. Each end shows that the connection to the store works. The
-     * range starts low because a change ends the calls of all nodes at the same moment, so that the next waits start
-     * together.
+     * A waiting call ends after a random time in this range. Each end shows that the connection to the store works. A
+     * change ends the calls of all nodes at the same moment, so their next calls start together; the wide range spreads
+     * the ends of these.
      */
     Millis minWait = std::chrono::seconds(1);
     Millis maxWait = std::chrono::seconds(25);
@@ -77,7 +77,7 @@
     Millis nextBackoff(WatchRole role, Millis previous) const;
     void pollLoop();
     bool isPollDue(Duration jitter) const;
-    /** Calls the store once, on another connection than the watch's. */
+    /** Checks the store once, on a new connection. Cancels the waiting call if there are changes. */
     void poll();
     CallResult callStore(const WatchCall &call);
     void handleResponse(const WatchCall &call, SteadyTime calledAt, const ObjectChanges &changes);
