--- a/include/home/LocalServerState.h
+++ b/include/home/LocalServerState.h
@@ -16,7 +16,7 @@
     Ignored,
     /** No change. */
     None,
-    /** A new process of the server accepts work. */
+    /** The server accepts work: a new process, or one that accepted none before. */
     Started,
     /** The server accepts no more work. */
     Stopped,
--- a/include/home/ServiceHome.h
+++ b/include/home/ServiceHome.h
@@ -56,7 +56,7 @@
     /** A server that has not announced itself for this long, and runs no request, is removed. */
     Millis removeAfter = std::chrono::seconds(30);
     std::size_t queuePerClass = 64;
-    /** Refuse requests at once that would miss their deadline. Off only where a benchmark measures a baseline. */
+    /** Refuses requests at once that would miss their deadline. Off only where a benchmark measures a baseline. */
     bool refuseEarly = true;
     /**
      * Largest share of the usable slots that a slow class may hold while a much faster class is active. The design, a
@@ -105,7 +105,7 @@
     /** Applies an announcement. Returns true if it is from a new process of the server. */
     bool announce(const Announcement &announcement, SteadyTime now);
 
-    /** Admits, queues or refuses a new request. @pre its class is one of the intent's. */
+    /** Assigns, queues or refuses a new request. Refuses one of a class that the intent does not list. */
     Admission submit(const HomeRequest &request, SteadyTime now);
     /** Frees the slot that @p id held at @p server. @p took: how long the server worked on it. */
     void release(std::uint64_t id, const std::string &server, Duration took);
@@ -135,8 +135,8 @@
     /** Assigns waiting requests to free slots and removes the requests whose deadline has passed. */
     PollResult poll(SteadyTime now);
     /**
-     * Advances phases, expires announcements and ejects unhealthy servers as far as the floor allows. To be called
-     * about every 50 ms.
+     * Advances phases, removes servers after HomeTuning::removeAfter and ejects unhealthy ones as far as the floor
+     * allows. To be called about every 50 ms.
      */
     std::vector<HomeDecision> tick(SteadyTime now);
 
--- a/include/home/SlotQueue.h
+++ b/include/home/SlotQueue.h
@@ -53,7 +53,7 @@
 /** Why a home refuses a request. The names appear in logs and replies. */
 enum class RefusalReason {
     None,
-    /** No server beside this node, or it is leaving. */
+    /** No server beside this node accepts work. */
     NoServer,
     /** No slot is expected to be free within the queue timeout, or too many requests wait. */
     Busy,
@@ -73,8 +73,8 @@
 struct SlotTuning {
     /**
      * From this probability on, the server gets no work that can't be retried, except with @c acceptsGray. A single
-     * failure raises a server with the stationary probability above it. About four seconds without evidence, or three
-     * successes, bring it below again.
+     * failure raises a server with the stationary probability above it. After a slow failure, 1.9 s without evidence or
+     * one success bring it below again; after a fast one, 5.8 s or 11 successes.
      */
     double grayThreshold = 0.45;
     /**
@@ -107,7 +107,7 @@
     double fastFailureFraction = 0.2;
     /** Weight of the newest work time in the moving average. */
     double smoothing = 0.1;
-    /** Work time assumed until the first result. */
+    /** Work time assumed until the first success: of a route, or of any route for the mean. */
     Millis defaultWorkTime{200};
     /**
      * Time constant with which the slot time used by each rank decays, and upper bound on the share of the slots that
@@ -148,9 +148,9 @@
     /** Frees the slot of a started request. */
     void release(std::uint64_t id, SteadyTime now);
     /**
-     * Adds the result of a finished request. @p took: how long the server worked on it. A failure that comes much
-     * sooner than the usual work time almost always means a gray server. A failure after the usual time is mostly
-     * caused by the request.
+     * Adds the result of a finished request. @p took: how long the server worked on it. A failure much sooner than the
+     * usual work time is strong evidence of a gray server. A later one is weaker evidence: healthy servers mostly fail
+     * a request after working on it.
      */
     void addResult(const std::string &route, bool failed, Duration took, SteadyTime now);
 
--- a/include/limit/FleetRetryBudget.h
+++ b/include/limit/FleetRetryBudget.h
@@ -43,7 +43,7 @@
 enum class RetryReason {
     /** The first send failed. */
     Failure,
-    /** The first send failed, and more urgent requests also need retries of the service. */
+    /** The first send failed, and more urgent requests were recently denied retries for lack of tokens. */
     LowPriorityFailure,
     /** The first send takes long. */
     Hedge,
@@ -64,8 +64,8 @@
     /** Returns true if @p tokens more retries stay within the limit. @p nodes: number of nodes that share the slack. */
     bool has(double tokens, std::size_t nodes, RetryReason reason, SteadyTime now) const;
     /**
-     * Uses @p tokens. For a retry whose run makes nested calls, their mean number is also spent from the budget of the
-     * called service.
+     * Uses @p tokens. For a retry whose run makes nested calls, the caller also spends their mean number from the
+     * budget of the called service.
      */
     void spend(double tokens, SteadyTime now);
     /** Gives back tokens for sends that did not happen, at most those spent in the current step of the window. */
--- a/include/route/HomeRanking.h
+++ b/include/route/HomeRanking.h
@@ -68,7 +68,7 @@
     double freeKilobytes = 4.0;
     /** Upper bound of the loss for bytes: a distant home is better than none, however large the response. */
     double maxBytesLoss = 600.0;
-    /** Round trips in milliseconds, subtracted from the time that is left at the home. */
+    /** Round trips in milliseconds, added to the expected wait and work time. */
     double zoneRoundTripMs = 3.0;
     double regionRoundTripMs = 62.0;
     /**
@@ -84,8 +84,8 @@
     /** Probability that a server without any report is gray: about one in eight is at any time. */
     double priorGrayProbability = 0.12;
     /**
-     * Weight of @c priorGrayProbability, and of a wait of zero, relative to a report from another home that has just
-     * arrived.
+     * Weight of @c priorGrayProbability, and of a wait of zero, in the means over a service's homes. A report that has
+     * just arrived has a weight of one.
      */
     double priorWeight = 1.0;
     /**
@@ -186,7 +186,7 @@
         bool pathFailed = false;
     };
 
-    /** Values for a home without a recent report: means over the service's other homes. */
+    /** Values for a home without a recent report, from the reports of all homes of the service. */
     struct Defaults {
         double wait = 0.0;
         double grayProbability = 0.0;
@@ -198,7 +198,7 @@
     /** Returns true if there is no recent report, and no older one by which the server is still likely gray. */
     bool isStale(const RankedHome &home, const Defaults &defaults, SteadyTime now) const;
     double distanceLoss(Distance distance, const HomeQuery &query) const;
-    /** Returns the expected loss without that of the wait. */
+    /** Returns the expected loss without delayLoss(). */
     double lossWithoutWait(const RankedHome &home, const HomeQuery &query, const Defaults &defaults,
                            SteadyTime now) const;
     double delayLoss(double waitMs, double roundTrip, double slowdown, const HomeQuery &query) const;
@@ -211,7 +211,7 @@
     double currentGrayProbability(const RankedHome &home, const Defaults &defaults, SteadyTime now) const;
     double roundTripMs(Distance distance) const;
     double slowdownOf(const RankedHome &home, SteadyTime now) const;
-    /** Returns the longest wait at @p home that loses no more than @p loss. */
+    /** Returns the longest wait at @p home for which the expected loss is at most @p loss. */
     Millis queueTimeoutFor(const RankedHome &home, const HomeQuery &query, const Defaults &defaults, double loss,
                            SteadyTime now) const;
 
--- a/src/floor/HomeFloor.cpp
+++ b/src/floor/HomeFloor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /**
- * Lost servers stay in the capacity of which a floor is a share for this long, so that crashes are not followed by
+ * For this long, lost servers stay in the capacity of which the floor is a share, so that crashes are not followed by
  * ejections.
  */
 constexpr Millis capacityRetention = std::chrono::minutes(15);
--- a/src/home/ServiceHome.cpp
+++ b/src/home/ServiceHome.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Half-life of results in the peers' share of bad results. */
+/** Half-life of results in each share of bad results. */
 constexpr Millis resultHalfLife = std::chrono::seconds(1);
 /** Good results added to the counted ones, so that few results do not make a high share of bad ones. */
 constexpr double priorGood = 3.0;
@@ -130,8 +130,8 @@
             // work, so no evidence, and would stay suspect.
             return &server;
         }
-        // A small suspicion does not count. At low traffic an idle server with one would always lose to servers with
-        // none, get no work, and so be neither cleared nor ejected.
+        // A small suspicion adds no penalty. With one, a slightly suspect server would get no work at low traffic, and
+        // so be neither cleared nor ejected.
         const double penalty = server.health.suspicion() >= suspicionThreshold ? server.health.suspicion() : 0.0;
         const double load =
             static_cast<double>(server.inFlight) / usable + penalty + (server.keptForFloor ? 10.0 : 0.0);
--- a/src/home/SlotQueue.cpp
+++ b/src/home/SlotQueue.cpp
@@ -7,10 +7,7 @@
 
 namespace {
 
-/**
- * Factor by which the baseline work time adapts more slowly than the recent one, so that their ratio shows a slow
- * phase.
- */
+/** Factor on @c smoothing for the baseline work time, so that its ratio to the recent one shows a slow phase. */
 constexpr double baselineSmoothing = 0.1;
 constexpr double minSlowdown = 1.0;
 constexpr double maxSlowdown = 20.0;
--- a/src/route/HomeRanking.cpp
+++ b/src/route/HomeRanking.cpp
@@ -248,7 +248,7 @@
     const double baseLoss = lossWithoutWait(*best, query, defaults, now);
     double maxLoss = nextLoss + tuning_.moveLoss;
     if (nextLoss < 0.0) {
-        // Without another home only the loss of the wait limits it, not the other losses at this home.
+        // Without another home the request may wait until its deadline, whatever the other losses at this home are.
         maxLoss = baseLoss + tuning_.missedLoss;
     } else if (query.mustQueue) {
         maxLoss = std::max(maxLoss, baseLoss + tuning_.lateLoss);
