--- a/src/sidecar/CallerHandler.h
+++ b/src/sidecar/CallerHandler.h
@@ -9,8 +9,8 @@
 struct NodeCore;
 
 /**
- * Handles callers' requests at a node on the platform: finds the route, forwards the request, and maps the outcome to a
- * status. 503 is used only for a request that has not run and never will. Not thread safe.
+ * Handles callers' requests at a node on the platform: finds the route, forwards the request, and returns the server's
+ * response or an error. An error has status 503 only if the request has not run and never will. Not thread safe.
  */
 class CallerHandler
 {
--- a/src/sidecar/FenceService.h
+++ b/src/sidecar/FenceService.h
@@ -41,10 +41,10 @@
     FenceService(NodeCore &core, FenceHandler fenceLocally);
 
     /**
-     * Returns the state of @p work at its home; NotKnown if no reply with another state arrives. Queries over @p path
-     * first. If @p path is empty or the result is NotKnown, queries over all paths and sets @p path to the link that
-     * replied. Each of the two queries takes up to @p timeout. Unless @p queryOnly, the query prevents a Work that has
-     * not started from starting. A large reply that is ready is fetched within @p left. @pre called from a fiber.
+     * Returns the state of @p work at its home; NotKnown if no reply with another state arrives. Queries over @p path;
+     * if that is empty or fails, over all paths, and sets @p path to the link that replied. Each query takes up to
+     * @p timeout. Unless @p queryOnly, a Work that has not started is prevented from starting. A large reply is fetched
+     * within @p left. @pre called from a fiber.
      */
     FenceReply query(const SentWork &work, FencePath &path, bool queryOnly, Duration timeout, Duration left);
     /** Queries the outcome over the open link @p link. @pre called from a fiber. */
--- a/src/sidecar/Forwarder.cpp
+++ b/src/sidecar/Forwarder.cpp
@@ -25,9 +25,9 @@
 /** An idempotent request is hedged after this many times its expected work time. */
 constexpr double hedgeDelayFactor = 3.0;
 constexpr Millis minHedgeDelay{120};
-/** A hedge starts at the latest after this fraction of the response time objective, while it can still help. */
+/** A hedge that starts after this fraction of the objective can't help any more; minHedgeDelay has precedence. */
 constexpr double maxHedgeFraction = 0.75;
-/** A request is refused without being sent only on a load report at most this old: a round trip between regions. */
+/** A request is refused without being sent only if the load report is at most a round trip between regions old. */
 constexpr Millis maxFreshLoadAge{100};
 constexpr Millis minRetryAfter{300};
 constexpr Millis minTimeLeft{5};
@@ -67,7 +67,7 @@
     FiberNotifier notifier;
     std::vector<AttemptPtr> attempts;
     HomeSearch search;
-    /** Homes whose server has received the request, or may have. */
+    /** Homes whose server has run the request, or may have; their number is limited by the route's maxAttempts. */
     std::set<std::string> reachedHomes;
     /** The outcome of an attempt could not be queried, and no retry has been considered since. */
     bool hasLostAttempt = false;
@@ -340,7 +340,7 @@
         return attempt->control->cancelled || reply.reason == poisonReason;
     }
     if (reply.outcome == Outcome::NotRun && !attempt->control->cancelled) {
-        // The server received the request but did not run it, so the next attempt counts as a retry.
+        // The server received the request but did not run it, so the next send counts as a retry.
         run->reachedHomes.erase(choice.node);
         return !reserveRetry(*run, retryReasonOf(*run), "server-refused");
     }
--- a/src/sidecar/Forwarder.h
+++ b/src/sidecar/Forwarder.h
@@ -122,7 +122,7 @@
     RetryReason retryReasonOf(const Run &run) const;
     /** Returns true if the request can be retried when the next attempt fails. */
     bool canRetry(const Run &run) const;
-    /** Returns the time from which on no attempt is started any more; max() unless this node is stopping. */
+    /** Returns the time after which the request is sent to no further home; max() unless this node is stopping. */
     SteadyTime latestStart(const Run &run) const;
     void cancelQueued(Run &run);
     /** Takes the tokens for one more attempt from the retry budget. Returns false if the attempt must not be made. */
@@ -130,8 +130,8 @@
     void updateStats(const std::string &route, const WorkReply &reply);
     ForwardResult finish(const RunPtr &run, const WorkReply &reply);
     /**
-     * Cancels all attempts and returns how the request ended. Unless @p immediately, first waits for the homes to
-     * confirm that queued requests have not run.
+     * Cancels all attempts and returns how the request ended. Unless @p immediately, waits for up to a round trip until
+     * the homes confirm that queued requests have not run.
      */
     ForwardResult finishTimedOut(const RunPtr &run, bool immediately);
 
--- a/src/sidecar/LocalHome.cpp
+++ b/src/sidecar/LocalHome.cpp
@@ -34,7 +34,7 @@
 constexpr Millis maxIdleNonIdempotent{2500};
 /** How much more likely a gray server is than a healthy one to send no response by the deadline. */
 constexpr double timeoutLikelihoodRatio = 8.0;
-/** A timeout counts against the server only after this many times its expected work time. */
+/** A timeout counts against the server only after this many times the route's expected work time. */
 constexpr int timeoutWorkFactor = 4;
 
 std::string millisText(Duration value)
@@ -417,7 +417,7 @@
         return;
     }
     if (error.failure == ExchangeFailure::Timeout) {
-        // On a route none of whose requests has completed here, a timeout is no evidence against the server.
+        // Until a request of the route has completed here, a timeout is no evidence against the server.
         const bool hasSamples = queue_.hasWorkTime(job.work.route);
         if (hasSamples && processingTime > timeoutWorkFactor * queue_.expectedWorkTime(job.work.route)) {
             queue_.addEvidence(timeoutLikelihoodRatio, now);
--- a/src/sidecar/LocalHome.h
+++ b/src/sidecar/LocalHome.h
@@ -121,7 +121,7 @@
     bool detectCrash(const Job &job);
     WorkReply refusal(const Job &job, const std::string &reason) const;
     void storeResult(const WorkKey &key, const WorkReply &reply);
-    /** Drops the oldest large response bodies beyond the limit. Their works stay recorded as ended. */
+    /** Drops the oldest large responses beyond the limit. Their Works stay ended, with the outcome Unknown. */
     void evictLargeResponses();
     void evict(const WorkKey &key);
 
--- a/src/sidecar/RetryBudgetService.cpp
+++ b/src/sidecar/RetryBudgetService.cpp
@@ -13,9 +13,9 @@
 /** Timeout for opening a link to a donor, and for its reply: a round trip in the region takes about 3 ms. */
 constexpr Millis transferTimeout{60};
 constexpr TransferTuning transferTuning;
-/** Delay after too few tokens were received: the donors' sliding windows advance in steps of half a second. */
+/** Delay of the next request after too few tokens arrived: the donors' windows advance in steps of half a second. */
 constexpr Millis transferPause{500};
-/** How long after a denied retry less urgent requests may use less of the budget: a few steps of the window. */
+/** How long after a denied retry part of the budget is kept from less urgent requests: a few steps of the window. */
 constexpr Millis denialRetention{2000};
 
 } // namespace
--- a/src/sidecar/WorkSender.cpp
+++ b/src/sidecar/WorkSender.cpp
@@ -109,7 +109,7 @@
         while (!pending->answered && !pending->linkLost && core_.clock.now() < until) {
             pending->notifier.wait(core_.ioContext, until - core_.clock.now());
         }
-        // Otherwise a failed path would stay in use whenever a retry or hedge elsewhere ends before the ack timeout.
+        // Without this, a failed path stays in use if a retry or hedge elsewhere ends this send before the ack timeout.
         if (!pending->answered && !pending->acked) {
             noteFailedPath(*pending, SentWork{home, *peer, id, pending->sentAt});
         }
--- a/src/sidecar/WorkSender.h
+++ b/src/sidecar/WorkSender.h
@@ -53,7 +53,7 @@
     SendResult pathFailure(std::uint64_t id, const std::string &reason) const;
     /** Reports the failure to the path monitor at once, long before the send that detected it ends. */
     void noteFailedPath(Pending &pending, const SentWork &sent);
-    /** Returns false if no acknowledgement arrived within the path's reply timeout, extended if the timer was late. */
+    /** Returns false if the link closes, or no ack arrives within the path's reply timeout (more for a late timer). */
     bool awaitAck(Pending &pending, const SentWork &sent, SteadyTime deadline);
     void awaitReply(Pending &pending, const SentWork &sent, SteadyTime deadline);
     /**
--- a/tests/integration/FollowerTest.cpp
+++ b/tests/integration/FollowerTest.cpp
@@ -71,11 +71,11 @@
 
 } // namespace
 
-// Guards against a number of calls to the store that grows with the nodes. Only the watchers may call it, with or
-// without a change.
+// Guards against store calls by every node, whose number grows with the fleet. Only the watchers may call the store,
+// with or without a change.
 TEST_CASE_FIXTURE(Followers, "followers, new version, hold it when it is due without a call to the store")
 {
-    // Nodes that are stand-ins at the start become followers in this time.
+    // Nodes with the role "stand-in" at the start become followers in this time.
     pause(std::chrono::seconds(4));
     const std::vector<int> followers = withRole("follower");
     REQUIRE(followers.size() == 4);
--- a/tests/integration/ShutdownTest.cpp
+++ b/tests/integration/ShutdownTest.cpp
@@ -83,7 +83,7 @@
 
 TEST_CASE("server, suspended so that its announcements stop, receives no new work after two seconds")
 {
-    // A VM disappears without warning. The missing announcements alone must make its home stop using the server.
+    // A server stops sending announcements, as when its VM is lost. That alone must make its home stop using it.
     Fleet fleet;
     fleet.server("s0").signal(SIGSTOP);
     pause(Millis(2300));
--- a/tests/integration/StaleStateTest.cpp
+++ b/tests/integration/StaleStateTest.cpp
@@ -73,8 +73,8 @@
     CHECK(eventually([&] { return isInForce(2); }, dueAfterDisturbance));
 }
 
-// Guards against watches whose connections all die without a reset, right after a change made all waits start at the
-// same time.
+// Guards against nodes that keep an old version because the connections of all watches die without a reset, right after
+// a change that made all nodes start a new watch at the same time.
 TEST_CASE_FIXTURE(StaleState, "stale state, watches on dead connections, nodes hold the next version when it is due")
 {
     mesh_.configure(2);
--- a/tests/standins/StandinMain.h
+++ b/tests/standins/StandinMain.h
@@ -14,7 +14,7 @@
 
 namespace waxwing::standin {
 
-/** Parses options, prints help if requested, and runs @p body on a fiber thread until it returns its exit code. */
+/** Parses options and prints help if requested; otherwise runs @p body on a fiber thread and exits with its result. */
 inline int
 runStandin(int argc, char **argv, boost::program_options::options_description options,
            const std::function<int(boost::asio::io_context &, const boost::program_options::variables_map &)> &body)
@@ -39,7 +39,7 @@
     endProcess(body(ioContext, values));
 }
 
-/** Prints the port that was opened to standard output, for the process that started this one. */
+/** Prints a listening port to standard output, for the process that started this one. */
 inline void printPort(const char *name, unsigned port)
 {
     std::printf("%s=%u\n", name, port);
--- a/tests/standins/objectapi.cpp
+++ b/tests/standins/objectapi.cpp
@@ -168,7 +168,7 @@
         never.wait();
     }
 
-    /** Waits for a change, no longer than @p allowed. Returns whether the watch was cut. */
+    /** Waits up to @p allowed for a change of any object; never returns if the watch is silent. True: it was cut. */
     bool waitForChange(Millis allowed)
     {
         const auto waiter = std::make_shared<Waiter>();
