--- a/include/fleet/NodeRegistry.h
+++ b/include/fleet/NodeRegistry.h
@@ -26,7 +26,7 @@
 /** Immutable, so that an entry stays as it was for its holder while other fibers of the node change the registry. */
 using RegistryEntryPtr = std::shared_ptr<const RegistryEntry>;
 
-/** The nodes of the fleet, as last read from the store or from a node that read it later. Not thread safe. */
+/** The nodes of the fleet, as last read from the store or obtained from a node with a newer list. Not thread safe. */
 class NodeRegistry
 {
 public:
--- a/include/fleet/RttEstimator.h
+++ b/include/fleet/RttEstimator.h
@@ -20,8 +20,8 @@
      */
     void noteSpuriousTimeout();
     /**
-     * Returns the timeout, at least @p minTimeout: the time that a healthy path may always take, with some margin for a
-     * busy VM.
+     * Returns the timeout, at least @p minTimeout, which covers a round trip on a healthy path and some delay at a busy
+     * VM.
      */
     Duration timeout(Duration minTimeout) const;
 
--- a/src/sidecar/ConfigSync.cpp
+++ b/src/sidecar/ConfigSync.cpp
@@ -13,8 +13,8 @@
 
 /**
  * Age of the configuration at which the store is polled, in case the watch's connection is dead. A node has 4 s to
- * detect that, instead of the usual 2.5 s or so for a change. Other nodes usually confirm the configuration before it
- * reaches this age.
+ * detect a dead connection; a change usually has about 2.5 s to take effect. Other nodes usually confirm the
+ * configuration before it reaches this age.
  */
 constexpr Millis pollAge{2200};
 /** Each end of a watcher's wait confirms the version for its whole region, which has no other confirmation. */
--- a/src/sidecar/PathMonitor.cpp
+++ b/src/sidecar/PathMonitor.cpp
@@ -25,7 +25,10 @@
  * make all nodes check them continuously.
  */
 constexpr Millis suspicionCheckInterval{2000};
-/** In a region of hundreds of nodes, those that are notified directly and confirm the failure notify others. */
+/**
+ * Limits the messages per failure in a region of hundreds of nodes. Nodes that confirm the failure send as many; each
+ * notifies the first nodes by id to which it has a link.
+ */
 constexpr std::size_t maxNotifiedNodes = 64;
 
 } // namespace
--- a/src/sidecar/PathMonitor.h
+++ b/src/sidecar/PathMonitor.h
@@ -39,8 +39,8 @@
     /** Records that no ack came from @p node within replyTimeout(), or that no link to it opens. Checks the path. */
     void noteFailure(const std::string &node);
     /**
-     * Checks a node that another node reports as unresponsive. Ignores this node, nodes that are not in the registry,
-     * and nodes that are being probed or were checked recently.
+     * Checks a node that another node reports as unresponsive. Ignores this node, nodes without registry entry or open
+     * link, and nodes that are being probed or were checked recently.
      */
     void handle(const PathSuspicion &suspicion);
 
--- a/src/sidecar/RegionWatch.cpp
+++ b/src/sidecar/RegionWatch.cpp
@@ -8,7 +8,7 @@
 namespace waxwing {
 
 namespace {
-/** Time until the election reflects a watcher that joins or whose link closes. */
+/** Minimum interval between elections, which take new and closed links into account. */
 constexpr Millis refreshInterval{400};
 } // namespace
 
--- a/src/sidecar/RegionWatch.h
+++ b/src/sidecar/RegionWatch.h
@@ -25,7 +25,7 @@
     void noteStoreReachable(const std::string &node, bool reachable);
     /** Returns the role of the last update. */
     WatchRole role() const;
-    /** Picks a watcher of this region on another node at random. Returns its open link; nothing if there is none. */
+    /** Picks one of this region's other watchers at random. Returns its open link; nothing if there is none. */
     std::optional<LinkId> linkToWatcher();
     /** Returns the open links to all other nodes of this region. */
     std::vector<LinkId> regionLinks() const;
@@ -37,7 +37,7 @@
     WatchElection election_;
     WatchRole role_ = WatchRole::Watcher;
     SteadyTime refreshedAt_;
-    /** Link endpoints of the watchers on other nodes. */
+    /** Link endpoints of this region's other watchers. */
     std::vector<Endpoint> watcherEndpoints_;
 };
 
--- a/src/sidecar/RegistrySync.h
+++ b/src/sidecar/RegistrySync.h
@@ -26,7 +26,7 @@
     RegistrySync &operator=(const RegistrySync &) = delete;
 
     void start();
-    /** Sets the hook that is called after each change. Register before start(). */
+    /** Sets the hook that is called after each change except this node's own writes. Register before start(). */
     void onChange(std::function<void()> hook);
     /** Removes the own entry of a node that stops for good. @pre called from a fiber. */
     void removeOwnEntry();
--- a/src/sidecar/SidecarNode.h
+++ b/src/sidecar/SidecarNode.h
@@ -31,8 +31,8 @@
     /** Writes out buffered log lines. */
     void flushLog();
     /**
-     * Applies changed settings of the server, bounds, limits and times. Limits take effect with the next configuration;
-     * of the bounds only the time to stop. Other settings need a restart.
+     * Applies changed settings of the server, bounds, limits and times. Limits take effect with the next configuration.
+     * Of the bounds only the time to stop takes effect. Other settings need a restart.
      */
     void reload(const NodeSettings &settings);
     /**
--- a/src/sidecar/StoreWatch.h
+++ b/src/sidecar/StoreWatch.h
@@ -20,9 +20,8 @@
     /** Delay of the next call after changes, so that a burst of changes costs one call. */
     Millis batchDelay{0};
     /**
-     * A waiting call ends after a random time in this range. Each end shows that the connection to the store works. A
-     * change ends the calls of all nodes at the same moment, so their next calls start together; the wide range spreads
-     * the ends of these.
+     * A waiting call ends after a random time in this range; each end shows that the connection to the store works. A
+     * change ends the calls of all nodes at once; the wide range spreads the ends of their next calls.
      */
     Millis minWait = std::chrono::seconds(1);
     Millis maxWait = std::chrono::seconds(25);
@@ -34,7 +33,7 @@
     Millis initialBackoff{150};
     /** Also the longest time from the end of an outage to the next call. */
     Millis maxBackoff{1500};
-    /** Called before each call to the store. A follower makes none. Without this hook the node always watches. */
+    /** Called before each call of the watch. A follower only polls. Without this hook the node always watches. */
     std::function<WatchRole()> role;
     /** Waits and backoff of a stand-in. They limit the calls in an outage, when all nodes of a region are stand-ins. */
     Millis minStandInWait{1500};
@@ -62,7 +61,10 @@
     /** Returns the freshness of the state held. Other nodes that hold the same version may confirm it. */
     Freshness &freshness();
     const Freshness &freshness() const;
-    /** Polls the store in parallel with the watch as soon as possible, because newer state is known to exist. */
+    /**
+     * Polls the store in parallel with the watch as soon as possible, because newer state is known to exist. No effect
+     * without StoreWatchTuning::pollAfter.
+     */
     void requestPoll();
 
 private:
@@ -72,7 +74,7 @@
     };
 
     WatchRole role() const;
-    /** Returns the parameters of the next call. @p firstInRole: the first call in this role. */
+    /** Returns the parameters of the next call. @p firstInRole: the first call since the node became a stand-in. */
     WatchCall nextCall(WatchRole role, bool firstInRole);
     Millis nextBackoff(WatchRole role, Millis previous) const;
     void pollLoop();
