--- a/include/base/Clock.h
+++ b/include/base/Clock.h
@@ -16,7 +16,7 @@
     virtual ~Clock() = default;
     /** Monotonic time that includes the time for which the VM is suspended; never decreases. Thread safe. */
     virtual SteadyTime now() const = 0;
-    /** Wall-clock time for reports and tickets; may jump. Thread safe. */
+    /** Wall-clock time for events, reports, stored objects and record versions; may jump. Thread safe. */
     virtual WallTime wallNow() const = 0;
 };
 
--- a/include/base/EventLog.h
+++ b/include/base/EventLog.h
@@ -25,7 +25,7 @@
     std::string name;
     std::vector<EventField> fields;
 
-    /** Returns the event as one line of key=value pairs; values with spaces are quoted. */
+    /** Returns the event as one line of key=value pairs; empty values and those with spaces or quotes are quoted. */
     std::string line() const;
 };
 
--- a/include/base/HttpMessage.h
+++ b/include/base/HttpMessage.h
@@ -26,7 +26,7 @@
 
 /** Returns the first value of @p name (case-insensitive), or an empty view. Thread safe. */
 std::string_view headerValue(const HeaderList &headers, std::string_view name);
-/** Returns true for headers that apply to one connection only and are never forwarded. Thread safe. */
+/** Returns true for headers that are not forwarded: those of one connection, and Content-Length. Thread safe. */
 bool isHopByHop(std::string_view name);
 /** Returns a response with a JSON body. Thread safe. */
 HttpResponse jsonResponse(unsigned status, std::string body);
--- a/include/base/JsonReader.h
+++ b/include/base/JsonReader.h
@@ -22,7 +22,10 @@
     JsonReader(const nlohmann::json &value, std::string place, Findings &findings);
 
     bool has(const std::string &key) const;
-    /** Each of these returns @p fallback if the field is missing or invalid, and adds a finding if it is invalid. */
+    /**
+     * Each of these returns @p fallback if the field is missing or invalid, and adds a finding if it is invalid.
+     * requiredText() returns an empty text instead, and also adds a finding if the field is missing.
+     */
     std::string text(const std::string &key, const std::string &fallback);
     std::string requiredText(const std::string &key);
     bool boolean(const std::string &key, bool fallback);
--- a/include/settings/NodeSettings.h
+++ b/include/settings/NodeSettings.h
@@ -23,7 +23,7 @@
 /** Parses "127.0.0.1:8080"; an error becomes a finding at @p place. Thread safe. */
 Endpoint parseEndpoint(const std::string &text, const std::string &place, Findings &findings);
 
-/** Limits on memory, traffic and object API calls. A running node reloads them at SIGHUP. */
+/** Limits on memory, traffic and object API calls. A running node reloads them when its settings file changes. */
 struct NodeLimits {
     std::uint64_t bodyBytes = 1024UL * 1024;
     std::uint32_t headerBytes = 16 * 1024;
--- a/include/wire/Messages.h
+++ b/include/wire/Messages.h
@@ -38,7 +38,7 @@
 
 /** What the receiver of an Exec does with its request. */
 enum class ExecStage : std::uint8_t {
-    /** Sent to the incarnation that owns the ticket, which claims the ticket and then runs the request. */
+    /** Sent to the ticket's owner, or to its successor, which claims the ticket and then has the request run. */
     Claim = 1,
     /** Sent to a home, which runs the request at one of its servers, at most once unless it is idempotent. */
     Run = 2,
@@ -61,7 +61,7 @@
 struct ExecReply {
     std::uint64_t id = 0;
     Outcome outcome = Outcome::Unknown;
-    /** Stable code of the refusal or fault; empty if the request ran. */
+    /** Stable code of the refusal or fault; empty if there is a response. */
     std::string reason;
     /** Time after which a retry may succeed; zero if a retry can't help. */
     Millis retryAfter{0};
@@ -79,7 +79,7 @@
     bool onlyIfQueued = false;
 };
 
-/** Changed records, sent on to gossip partners. */
+/** Complete records: changed ones for gossip partners, or ones that the receiver lacks. */
 struct RecordsPush {
     std::vector<Record> records;
 };
@@ -131,8 +131,8 @@
 };
 
 /**
- * Versions that a node holds, attached to Work, WorkAck, WorkReply and state updates. A receiver that holds a lower
- * version requests the newer state from the sender.
+ * Versions that a node holds, attached to Work, WorkAck, WorkReply, StateUpdateRequest and StateUpdate. A receiver that
+ * holds a lower version requests the newer state from the sender.
  */
 struct KnownVersions {
     std::uint64_t config = 0;
@@ -187,7 +187,7 @@
 struct WorkReply {
     std::uint64_t id = 0;
     Outcome outcome = Outcome::Unknown;
-    /** The server responded, but with an error of its own. */
+    /** The server responded with an error, or it may have received the request but gave no usable response. */
     bool serverFault = false;
     /** The request was sent to the server, whatever its outcome. */
     bool reachedServer = false;
@@ -234,7 +234,7 @@
     Underway = 2,
     /** It ended. The reply is included unless it is large and was not requested. */
     Ended = 3,
-    /** The target is unreachable, is another incarnation, or has no entry for the work and may have discarded it. */
+    /** The target is unreachable, is another incarnation, or has no entry: discarded, or the work has not arrived. */
     NotKnown = 4,
 };
 
@@ -275,7 +275,7 @@
     bool wantsRegistry = false;
 };
 
-/** The configuration document and the whole registry, each only if it is newer than the receiver's. */
+/** Replies to a StateUpdateRequest, or announces a new configuration. State that is not sent is empty. */
 struct StateUpdate {
     /** Id of the StateUpdateRequest; 0 if the update was not requested. */
     std::uint64_t id = 0;
--- a/src/http/HttpClient.cpp
+++ b/src/http/HttpClient.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::size_t maxIdleConnections = 64;
-/** Number of responses to other requests that are skipped before the connection is closed. */
+/** Number of interim responses and responses to other requests that are skipped before the exchange fails. */
 constexpr int maxMismatchedResponses = 4;
 /** A connection is not reused in this last part of the keep-alive time that its peer announced. */
 constexpr Millis keepAliveMargin{1000};
@@ -117,7 +117,7 @@
     /** The last response was complete, and the connection allows another request. */
     bool reusable = false;
     std::chrono::steady_clock::time_point idleSince;
-    /** How long the peer keeps the connection open, if it announced that. */
+    /** How long the connection may be idle: the time that the peer announced, less keepAliveMargin. */
     Duration keepAliveTimeout = Duration::max();
 };
 
--- a/src/http/HttpConnection.cpp
+++ b/src/http/HttpConnection.cpp
@@ -392,8 +392,8 @@
         while (exclusive && !responsesDone_ && !exchanges_.empty()) {
             notifier_.wait(server_->ioContext, noTimeout);
         }
-        // This request was read, but follows a response that closes the connection: it is not run, and its caller sends
-        // it again.
+        // The request follows a response that closes the connection, or its caller has disconnected: it is not run, and
+        // a resend is safe.
         if (responsesDone_ || inputEnded_) {
             break;
         }
--- a/src/http/HttpConnection.h
+++ b/src/http/HttpConnection.h
@@ -25,7 +25,7 @@
     std::size_t inFlight = 0;
     /** Each connection closes after the responses to the requests that it has read, or after its next request. */
     bool closing = false;
-    /** Connections without a request in progress are closed. */
+    /** Each connection closes after the responses in progress, an idle one at once. */
     bool draining = false;
 };
 
@@ -102,7 +102,7 @@
     std::size_t bytesHeld_ = 0;
     SteadyTime idleSince_;
     bool writing_ = false;
-    /** No further request is read: the caller announced its last one, or a request could not be read. */
+    /** No further request is read: the last one was announced or rejected, or a response closes the connection. */
     bool requestsDone_ = false;
     /** The last response was written, or writing failed. */
     bool responsesDone_ = false;
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -63,7 +63,7 @@
 /**
  * An HTTP/1.1 server (Boost.Beast) with one fiber for each connection and one for each request in progress, on the
  * thread of the io_context. Pipelined requests run concurrently within HttpLimits::pipelinedRequests and
- * pipelinedBytes; beyond these limits the connection is not read. Not thread safe.
+ * pipelinedBytes; requests beyond these limits wait. Not thread safe.
  */
 class HttpServer
 {
@@ -72,7 +72,7 @@
     /** Called with a short reason for each connection or request that was rejected before it reached the handler. */
     using RejectHook = std::function<void(const std::string &reason)>;
 
-    /** Listens on @p address:@p port (0 picks a free one). Errors: Unavailable. */
+    /** Listens on @p address:@p port (0 picks a free one). Errors: Malformed for a bad address; Unavailable. */
     static Expected<std::unique_ptr<HttpServer>> MakeListening(boost::asio::io_context &ioContext,
                                                                const std::string &address, std::uint16_t port,
                                                                Handler handler, HttpLimits limits = {},
--- a/src/link/PeerHub.h
+++ b/src/link/PeerHub.h
@@ -40,7 +40,7 @@
         std::function<void(LinkId link, const NodeRef &from, Message message)> onMessage;
         /** Malformed bytes were received; the link is then closed. */
         std::function<void(const std::string &reason)> onMalformed;
-        /** An outgoing link closed. */
+        /** The latest outgoing link to @p peer closed. */
         std::function<void(const NodeRef &peer)> onLinkLost;
         /** The peer's Hello was received; the link is usable. */
         std::function<void(LinkId link, bool outgoing)> onLinkOpen;
@@ -61,8 +61,8 @@
     /** Returns the incarnation that listens at @p endpoint. Errors: Unavailable, Timeout. @pre called from a fiber. */
     Expected<NodeRef> discover(const Endpoint &endpoint);
     /**
-     * Returns the open link to @p endpoint, and opens one if there is none. @p forceNew opens another one, for a link
-     * that may have failed without a reset, which shows only by missing traffic. The replaced link stays open for late
+     * Returns the open link to @p endpoint, and opens one if there is none. @p forceNew opens another one, because
+     * the open link may have failed without a reset, which shows only by missing traffic; it stays open for late
      * replies. Errors: Unavailable, Timeout (not open within @p timeout). @pre called from a fiber.
      */
     Expected<LinkId> linkAt(const Endpoint &endpoint, Duration timeout, bool forceNew = false);
@@ -79,7 +79,10 @@
     std::optional<Duration> helloAge(LinkId link) const;
     /** Closes one link. */
     void close(LinkId link);
-    /** Sends without waiting for a reply; opens the link if needed. @pre called from a fiber. */
+    /**
+     * Sends without waiting for a reply; opens the link if needed. Errors: Unavailable, Timeout; NotFound if another
+     * incarnation listens at @p endpoint. @pre called from a fiber.
+     */
     Expected<void> send(const NodeRef &to, const Endpoint &endpoint, const Message &message);
     /**
      * Sends @p exec (its id is set here) and waits for the reply. @p onSent is called with the id as soon as the
@@ -87,10 +90,13 @@
      */
     tl::expected<ExecReply, CallError> call(const NodeRef &to, const Endpoint &endpoint, Exec exec, Duration timeout,
                                             const std::function<void(std::uint64_t id)> &onSent = {});
-    /** Sends @p message and waits until the peer acknowledges it with a Pong of its id. @pre called from a fiber. */
+    /**
+     * Sends @p message and waits until the peer acknowledges it with a Pong of its id. Errors: Timeout (any failure).
+     * @pre called from a fiber.
+     */
     Expected<void> sendAcknowledged(const NodeRef &to, const Endpoint &endpoint, ClaimHandover message,
                                     Duration timeout);
-    /** Checks that the peer replies within @p timeout. @pre called from a fiber. */
+    /** Checks that the peer replies within @p timeout. Errors: Timeout (any failure). @pre called from a fiber. */
     Expected<void> ping(const NodeRef &to, const Endpoint &endpoint, Duration timeout);
     /** Cancels a call of this node: the call returns an error, and the peer gets a Cancel. */
     void cancelCall(std::uint64_t id);
