--- a/bench/detectors.cpp
+++ b/bench/detectors.cpp
@@ -1,6 +1,6 @@
 /**
  * Compares detectors on the same scripted faults: detection time for the unhealthy server and false ejections, for two
- * ejection policies at low and high traffic. Run: bench-detectors [quick|full]; full adds the long runs without faults.
+ * ejection policies at low and high traffic. Run: bench-detectors [quick|full]; full lengthens the runs without faults.
  */
 #include "tests/support/HomeRig.h"
 
--- a/include/claim/ClaimTable.h
+++ b/include/claim/ClaimTable.h
@@ -41,7 +41,7 @@
     Full,
     /** This node is stopping and accepts no new claims. */
     Stopping,
-    /** The ticket's owner is neither this incarnation nor an adopted one, or the issue time is in its future. */
+    /** The owner is neither this incarnation nor an adopted one, or its age is less than the ticket's issue time. */
     NotOwner,
 };
 
@@ -83,7 +83,7 @@
      * Start.
      */
     void finish(const Ticket &ticket, ClaimResult result);
-    /** Returns the result of a claim, or null if it is running or unknown. */
+    /** Returns the result of a claim, or null if it is running or not in the table. */
     const ClaimResult *resultOf(const Ticket &ticket) const;
 
     /** Refuses new claims from now on. */
--- a/include/claim/Ticket.h
+++ b/include/claim/Ticket.h
@@ -10,12 +10,13 @@
 namespace waxwing {
 
 /**
- * An idempotency key that names the one process that may run the request: the incarnation that issued it. Ownership is
- * never reassigned, so no lease, membership list or store is needed to find or to keep it.
+ * An idempotency key that names the incarnation that issued it. Only that process, or the successor that it names when
+ * it stops, may run the request. Ownership never changes otherwise, so no lease, membership list or store is needed to
+ * find or to keep it.
  */
 struct Ticket {
     NodeRef owner;
-    /** Time since the owner's start by its monotonic clock; other nodes don't interpret it. */
+    /** Time since the owner's start by its monotonic clock; only the owner and its successor interpret it. */
     Millis issuedAt{0};
     std::uint64_t sequence = 0;
 
--- a/src/node/ClaimService.cpp
+++ b/src/node/ClaimService.cpp
@@ -300,8 +300,8 @@
             return peers.sendAcknowledged(successor, endpoint, part, ackTimeout).has_value();
         });
         if (!accepted) {
-            // The node may still have adopted the claims. That does no harm, because requests are sent only to the
-            // successor that the published record names.
+            // The node may still have adopted the claims, but other nodes send requests only to the successor that the
+            // published record names.
             continue;
         }
         const nlohmann::json body = {successor.id, successor.incarnation};
--- a/src/node/FloorService.h
+++ b/src/node/FloorService.h
@@ -18,7 +18,7 @@
 class FloorService
 {
 public:
-    /** @pre "homes" and "platform" are in the kernel. */
+    /** @pre "gossip", "homes" and "platform" are in the kernel. */
     explicit FloorService(NodeCore &core);
     void start();
 
--- a/src/node/GossipService.h
+++ b/src/node/GossipService.h
@@ -17,8 +17,9 @@
 
 /**
  * Distributes records over the fleet and tracks the state of its nodes from them. Changes are pushed to the ring's
- * partners at once. Every few seconds the table's digest is compared with one partner's, which recovers the updates
- * that were lost with a link or in an outage. A node that is declared down while it is up refutes it. Not thread safe.
+ * partners in short batches. Every few seconds the table's digest is compared with one partner's, which recovers the
+ * updates that were lost with a link or in an outage. A node that is declared down while it is up refutes it. Not
+ * thread safe.
  */
 class GossipService
 {
@@ -52,7 +53,7 @@
     std::vector<std::string> upIds() const;
     /** Returns the nodes that are up and home to servers of @p service, including this node. */
     std::vector<const NodeRecord *> homesOf(const std::string &service) const;
-    /** Returns the nodes that this one keeps links to. */
+    /** Returns the ids of this node's partners on the ring, to which it keeps links. */
     std::vector<std::string> partners() const;
     bool isUp(const NodeRef &ref) const;
     std::optional<Endpoint> peerEndpoint(const NodeRef &ref) const;
--- a/src/node/HomeService.h
+++ b/src/node/HomeService.h
@@ -30,8 +30,8 @@
     HttpResponse announce(const std::string &body);
     /**
      * Sends the request to a server and returns its result. Retries at other servers within the retry budget; a
-     * non-idempotent request only if no byte of it reached the server or the server reported that it did not run it.
-     * @pre called from a fiber.
+     * non-idempotent request only if no byte of it was sent or the server reported that it did not run it. @pre
+     * called from a fiber.
      */
     ExecReply run(const Exec &exec, const RunControlPtr &control);
     /** Returns the homes of this node by service, with their servers. */
--- a/src/node/IngressService.h
+++ b/src/node/IngressService.h
@@ -18,7 +18,7 @@
 
 /**
  * Caller-facing side of a node: classifies each request, runs it, and reports how it ended in the status and in the
- * header Waxwing-Outcome. Refusals are returned without delay. Not thread safe.
+ * header Waxwing-Outcome. Its own refusals are returned without delay. Not thread safe.
  */
 class IngressService
 {
--- a/src/node/NodeCore.h
+++ b/src/node/NodeCore.h
@@ -40,7 +40,7 @@
     Kernel kernel;
     /** Set when a graceful shutdown begins; no new work is accepted from then on. */
     bool draining = false;
-    /** Set when a graceful shutdown ends; the background loops exit, except the ticks of HomeService. */
+    /** Set when a graceful shutdown ends; the background loops exit, except those of HomeService and LocalHome. */
     bool stopping = false;
 
     /** Returns a service of the kernel. Aborts if it is missing, because that is a bug in the setup of the node. */
--- a/src/node/RunControl.h
+++ b/src/node/RunControl.h
@@ -7,7 +7,7 @@
 
 namespace waxwing {
 
-/** Lets the caller's side cancel a request, when the caller's connection closes or its node sends a Cancel. */
+/** Lets the side that sent a request cancel it, such as when its caller disconnects or another node sends a Cancel. */
 struct RunControl {
     bool cancelled = false;
     /** Set if the request is to be cancelled unless it has started to run. */
--- a/tests/support/ConfigPropagationRig.h
+++ b/tests/support/ConfigPropagationRig.h
@@ -16,8 +16,8 @@
 constexpr Millis dueAfterDisturbance = std::max(applyBound, undisturbedAfter);
 
 /**
- * A mesh for tests of how a configuration reaches its nodes. From version 2 on, bookings are for "archive", whose
- * server is beside node 2.
+ * A mesh for tests of how a configuration reaches its nodes. The server beside node 2 belongs to "archive", to which
+ * tests move the bookings.
  */
 class ConfigPropagationRig
 {
--- a/tests/support/HomeRig.h
+++ b/tests/support/HomeRig.h
@@ -42,7 +42,7 @@
     EjectionPolicy policy = EjectionPolicy::Balanced;
     CapacityFloor floor{8, 0.0};
     double idempotentShare = 1.0;
-    /** Median work time of the other class; zero: the same as the first. */
+    /** Median work time of the non-idempotent class; zero: the same as @c work. */
     Millis otherWork{0};
     double slowClassShare = 0.5;
     std::size_t queuePerClass = 64;
@@ -60,8 +60,8 @@
 };
 
 /**
- * Drives one ServiceHome, as nodes run it, with simulated requests and servers on its own clock. It is a small fake at
- * the interface of the home, for scenarios and the detector benchmark. It has no other nodes.
+ * Drives one ServiceHome, as nodes run it, with simulated requests and servers on its own clock, for scenarios,
+ * tests and benchmarks. It has no other nodes.
  */
 class HomeRig
 {
--- a/tests/support/Mesh.h
+++ b/tests/support/Mesh.h
@@ -20,7 +20,7 @@
     int timeoutMs = 3000;
     /** Longest time from SIGTERM to the node's exit. */
     int graceSeconds = 5;
-    /** The retry budget: share of the requests, and retries beyond it in a window, of the whole fleet. */
+    /** Retry budget of the whole fleet: retries per request, and additional retries per window. */
     double budgetRatio = 0.2;
     int budgetSlack = 60;
     /** Unused routes that make the configuration large. */
@@ -52,7 +52,10 @@
     /** Sends a request to a node's callers' port: "/dates/" is idempotent, "/seats/" is not. */
     tl::expected<HttpResponse, ExchangeError> send(int node, const std::string &id, const std::string &path,
                                                    Millis timeout = std::chrono::seconds(3));
-    /** Sends @p bytes unchanged; returns all bytes received until the connection closes or @p timeout has passed. */
+    /**
+     * Sends @p bytes unchanged to a node's callers' port. Returns all bytes received until the connection closes or
+     * @p timeout has passed.
+     */
     std::string sendRaw(int node, const std::string &bytes, Millis timeout = std::chrono::milliseconds(1500));
     /** Returns true if the node's readiness check succeeds. */
     bool isReady(int node);
--- a/tests/unit/DecisionsTest.cpp
+++ b/tests/unit/DecisionsTest.cpp
@@ -199,8 +199,8 @@
 
 TEST_CASE("service home, slow class beside a fast one, does not take all slots")
 {
-    // One request in ten takes 75 times as long as the rest. These requests fail nothing, but they hold every slot, and
-    // fast requests wait behind them until they time out.
+    // One request in ten takes 75 times as long as the rest. Slow requests succeed, but without a limit they hold every
+    // slot, and fast requests wait behind them until they time out.
     RigOptions options;
     options.servers = 4;
     options.work = Millis(20);
--- a/tests/unit/FleetRetryBudgetTest.cpp
+++ b/tests/unit/FleetRetryBudgetTest.cpp
@@ -32,8 +32,8 @@
 }
 
 /**
- * Runs @p count works of "parent", each of which makes one nested call. Works of "single", which makes none, run beside
- * every second one and after each. A caller's request follows while the server is idle.
+ * Simulates @p count runs of route "parent" with one nested call each. Runs of "single", without calls, are concurrent
+ * with every second one and follow each. Then a caller's request arrives while the server is idle.
  */
 void trainTracker(NestedCallTracker &tracker, int count)
 {
@@ -189,7 +189,7 @@
 TEST_CASE("nested call tracker, call fails, is attributed to the work that made it and to no other")
 {
     // Guards against a healthy server that is taken for gray: a calendar server returns 500 because its nested call to
-    // the records service failed. Counted against the calendar server, that sent bookings elsewhere.
+    // the records service failed. This counted as evidence against it, and bookings were sent elsewhere.
     NestedCallTracker tracker;
     trainTracker(tracker, 50);
     const SteadyTime later = start + std::chrono::minutes(1);
--- a/tests/unit/HomeFloorTest.cpp
+++ b/tests/unit/HomeFloorTest.cpp
@@ -241,9 +241,9 @@
 
 TEST_CASE("floor, every interleaving of three homes and four servers, is never violated")
 {
-    // Three homes see unhealthy servers and get no messages from each other. Writes arrive late, their replies are
-    // lost, a home is paused and considered departed, another one absorbs its pledge, and then it resumes and continues
-    // to eject. In any order, at least two of the four servers must stay in service.
+    // Three homes eject unhealthy servers and coordinate their pledges only through the store. Writes arrive late,
+    // replies are lost, a home is paused and considered departed, another one absorbs its pledge, and then it resumes
+    // and continues to eject. In any order, at least two of the four servers must stay in service.
     constexpr std::uint32_t required = 2;
     World fresh(required, {2, 1, 1});
     World registered = fresh;
--- a/tools/demo.cpp
+++ b/tools/demo.cpp
@@ -37,7 +37,7 @@
     results.wrongResponses += complete ? 0 : 1;
 }
 
-/** Sends a booking or redemption with a ticket, three times at most, each through another node, until it has run. */
+/** Sends a write with a ticket up to three times, each time through another node, until it has run. */
 void writeOnce(Fleet &fleet, Results &results, int node, const std::string &service)
 {
     const std::string id = "write-" + std::to_string(++results.number);
