--- a/include/home/SlotQueue.h
+++ b/include/home/SlotQueue.h
@@ -74,7 +74,7 @@
     /**
      * From this probability on, the server gets no work that can't be retried, except with @c acceptsGray. A single
      * failure raises a server with the stationary probability above it. After a slow failure, 1.9 s without evidence or
-     * one success bring it below again; after a fast one, 5.8 s or 11 successes.
+     * one success bring it below again; after a fast one, 5.9 s, or three successes 350 ms apart (11 at once).
      */
     double grayThreshold = 0.45;
     /**
