--- a/tests/integration/AtMostOnceTest.cpp
+++ b/tests/integration/AtMostOnceTest.cpp
@@ -225,7 +225,7 @@
 TEST_CASE("booking, write of its key took effect but the response was lost, runs once")
 {
     Fleet fleet;
-    fleet.setApiFault({{"loseAnswers", 1}});
+    fleet.setApiFault({{"loseAnswers", 1}, {"loseAnswersKind", "key"}});
     CHECK(fleet.book(0, "lost-write", "own-lost").outcome == "ran");
     CHECK(fleet.book(2, "lost-write", "own-lost").outcome == "ran");
     CHECK(fleet.executions()["lost-write"] == 1);
--- a/tests/integration/ConfigTest.cpp
+++ b/tests/integration/ConfigTest.cpp
@@ -54,7 +54,8 @@
 {
     Fleet fleet;
     const std::uint64_t before = revisionAt(fleet, 0);
-    fleet.setApiFault({{"loseAnswers", 1}});
+    // Without the kind, a node's write of its pledge could be the one whose response is lost.
+    fleet.setApiFault({{"loseAnswers", 1}, {"loseAnswersKind", "service"}});
     std::string output;
     CHECK(fleet.ctl({"apply", fleet.intentsFile("450ms"), "--wait"}, &output) == 0);
     INFO(output);
--- a/tests/standins/objectapi.cpp
+++ b/tests/standins/objectapi.cpp
@@ -50,7 +50,9 @@
     /** Additional delay of full lists of one kind. */
     std::int64_t slowListMs = 0;
     std::string slowListKind;
+    /** Number of writes that take effect but whose response is lost, and their kind; any kind if empty. */
     int loseAnswers = 0;
+    std::string loseAnswersKind;
 };
 
 /** A watch that waits for a change. */
@@ -121,7 +123,8 @@
             return target.name.empty() ? list(target) : read(target);
         }
         HttpReply result = request.method == "DELETE" ? remove(target) : update(request.method, target, request.body);
-        if (faults_.loseAnswers > 0) {
+        const bool mayLose = faults_.loseAnswersKind.empty() || faults_.loseAnswersKind == target.kind;
+        if (faults_.loseAnswers > 0 && mayLose) {
             --faults_.loseAnswers;
             return HttpReply{{}, AfterResponse::Reset};
         }
@@ -149,6 +152,7 @@
         faults_.slowListKind = body.value("slowListKind", faults_.slowListKind);
         faults_.slowMs = body.value("slowMs", faults_.slowMs);
         faults_.loseAnswers = body.value("loseAnswers", faults_.loseAnswers);
+        faults_.loseAnswersKind = body.value("loseAnswersKind", faults_.loseAnswersKind);
         if (body.value("forgetHistory", false)) {
             compactedBefore_ = revision_;
         }
